--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -47,9 +47,11 @@
 }
 
 prefix::prefix_chain make_chain(base::random_source& random, std::uint64_t groups) {
-    const std::uint64_t group = 1 + base::below(random, groups);
-    const std::uint64_t history = base::mix(group, base::below(random, 40));
-    return {{base::mix(group, 1), {4000}}, {history, {5500}}, {base::next(random), {5600}}};
+    const std::uint64_t group = 1 + base::random_below(random, groups);
+    const std::uint64_t history = base::combine_hashes(group, base::random_below(random, 40));
+    return {{base::combine_hashes(group, 1), {4000}},
+            {history, {5500}},
+            {base::random_bits(random), {5600}}};
 }
 
 routing::pool_view make_pool(int size) {
@@ -96,7 +98,7 @@
     const double before = resident_megabytes();
     routing::affinity_table table;
     for (std::size_t key = 0; key < table.capacity; ++key) {
-        routing::remember(table, base::mix(key, 3), {1, 1, {}});
+        routing::remember(table, base::combine_hashes(key, 3), {1, 1, {}});
     }
     const double after = resident_megabytes();
     print("affinity table, full", std::to_string(table.capacity) + " prefixes", after - before,
@@ -254,7 +256,7 @@
                                 [&](int round) {
                                     const auto number = static_cast<std::uint64_t>(round);
                                     (void)quota::take(known, limited[number % teams].id, {1},
-                                                      base::mix(number, 1), now, rules);
+                                                      base::combine_hashes(number, 1), now, rules);
                                 }),
               "us");
         report.counts.resize(4);
--- a/examples/at_most_once.cpp
+++ b/examples/at_most_once.cpp
@@ -26,8 +26,8 @@
         return answer;
     }
 
-    ports::committed commit(const ports::transaction& change) {
-        for (const auto& expected : change.expectations) {
+    ports::commit_result commit(const ports::transaction& change) {
+        for (const auto& expected : change.preconditions) {
             const auto found = this->values.find(expected.key);
             const auto present = found == this->values.end() ? 0 : found->second.mod_revision;
             if (present != expected.mod_revision) {
--- a/src/adapters/http_client.cpp
+++ b/src/adapters/http_client.cpp
@@ -40,7 +40,7 @@
 class running_call : public std::enable_shared_from_this<running_call> {
 public:
     running_call(event_base* base, std::string address, ports::upstream_call call,
-                 ports::answer_handler handler, http_call_options options)
+                 ports::response_handler handler, http_call_options options)
         : base(base), address(std::move(address)), call(std::move(call)),
           handler(std::move(handler)), options(options) {}
 
@@ -210,7 +210,7 @@
     event_base* base;
     std::string address;
     ports::upstream_call call;
-    ports::answer_handler handler;
+    ports::response_handler handler;
     http_call_options options;
     bufferevent* probe_socket = nullptr;
     evhttp_connection* connection = nullptr;
@@ -221,7 +221,7 @@
 } // namespace
 
 ports::call_handle http_call(event_base* base, const std::string& address,
-                             const ports::upstream_call& call, ports::answer_handler handler,
+                             const ports::upstream_call& call, ports::response_handler handler,
                              http_call_options options) {
     const auto running =
         std::make_shared<running_call>(base, address, call, std::move(handler), options);
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -19,7 +19,7 @@
 // Sends one request on a connection of its own to "IP:PORT". evhttp never sends it again: a fresh
 // connection can't be one that the other end had already closed, and its retries are set to none.
 ports::call_handle http_call(event_base* base, const std::string& address,
-                             const ports::upstream_call& call, ports::answer_handler handler,
+                             const ports::upstream_call& call, ports::response_handler handler,
                              http_call_options options);
 
 // What comes back of a call whose answer is read whole.
--- a/src/adapters/http_platform.cpp
+++ b/src/adapters/http_platform.cpp
@@ -42,7 +42,7 @@
 
 json to_json(const ports::transaction& change) {
     json compare = json::array();
-    for (const auto& expected : change.expectations) {
+    for (const auto& expected : change.preconditions) {
         compare.push_back({{"key", base::to_base64(expected.key)},
                            {"target", "MOD"},
                            {"result", "EQUAL"},
@@ -101,11 +101,11 @@
             {{"key", base::to_base64(prefix)}, {"range_end", base::to_base64(end_of(prefix))}},
             read_snapshot, std::move(done));
     };
-    made.read_key = [at](const std::string& key, ports::freshness wanted, auto done) {
+    made.read_key = [at](const std::string& key, ports::read_consistency wanted, auto done) {
         at.post<std::optional<ports::stored_value>>(
             "/v3/kv/range",
             {{"key", base::to_base64(key)},
-             {"serializable", wanted == ports::freshness::may_be_old}},
+             {"serializable", wanted == ports::read_consistency::stale_allowed}},
             [](const json& answer) -> std::optional<ports::stored_value> {
                 const auto read = read_snapshot(answer);
                 return read.values.empty() ? std::nullopt : std::optional(read.values.front());
@@ -122,11 +122,11 @@
             std::move(done));
     };
     made.commit = [at](const ports::transaction& change, auto done) {
-        at.post<ports::committed>(
+        at.post<ports::commit_result>(
             "/v3/kv/txn", to_json(change),
             [](const json& answer) {
-                return ports::committed{answer.value("succeeded", false),
-                                        whole(answer.at("header"), "revision")};
+                return ports::commit_result{answer.value("succeeded", false),
+                                            whole(answer.at("header"), "revision")};
             },
             std::move(done));
     };
@@ -135,7 +135,7 @@
             "/v3/lease/grant", {{"TTL", std::to_string(seconds)}},
             [](const json& answer) { return whole(answer, "ID"); }, std::move(done));
     };
-    made.keep_lease = [at](std::int64_t lease, auto done) {
+    made.renew_lease = [at](std::int64_t lease, auto done) {
         at.post<bool>(
             "/v3/lease/keepalive", {{"ID", std::to_string(lease)}},
             [](const json& answer) { return whole(answer.at("result"), "TTL") > 0; },
--- a/src/adapters/platform_budget.cpp
+++ b/src/adapters/platform_budget.cpp
@@ -88,7 +88,7 @@
         };
         at.call(platform_call::read, [at, prefix, answered] { at.inner.read(prefix, answered); });
     };
-    made.read_key = [at](const std::string& key, ports::freshness wanted, auto done) {
+    made.read_key = [at](const std::string& key, ports::read_consistency wanted, auto done) {
         at.call(platform_call::read_key, [at, key, wanted, done = at.counting(std::move(done))] {
             at.inner.read_key(key, wanted, done);
         });
@@ -108,9 +108,9 @@
             at.inner.grant_lease(seconds, done);
         });
     };
-    made.keep_lease = [at](std::int64_t lease, auto done) {
+    made.renew_lease = [at](std::int64_t lease, auto done) {
         at.call(platform_call::renewal, [at, lease, done = at.counting(std::move(done))] {
-            at.inner.keep_lease(lease, done);
+            at.inner.renew_lease(lease, done);
         });
     };
     if (at.inner.watch) {
--- a/src/agent/load_runner.cpp
+++ b/src/agent/load_runner.cpp
@@ -48,7 +48,7 @@
 }
 
 void load_runner::carry_out_one(const loading::commit_action& todo) {
-    this->platform.commit(todo.change, [this](const base::result<ports::committed>& answer) {
+    this->platform.commit(todo.change, [this](const base::result<ports::commit_result>& answer) {
         this->carry_out(loading::on_committed(this->loader, answer, this->moment()));
     });
 }
--- a/src/agent/once_runner.cpp
+++ b/src/agent/once_runner.cpp
@@ -74,7 +74,7 @@
                                           });
         return;
     }
-    this->around.platform.keep_lease(this->lease, [this, sent](base::result<bool> kept) {
+    this->around.platform.renew_lease(this->lease, [this, sent](base::result<bool> kept) {
         this->lease_call_pending = false;
         if (!kept.has_value()) {
             return;
@@ -129,7 +129,7 @@
     if (found == this->pools.end()) {
         send(wire::refused{order.attempt,
                            static_cast<int>(base::code::once_not_owner),
-                           static_cast<int>(base::ran::unknown),
+                           static_cast<int>(base::execution_state::unknown),
                            0,
                            {}});
         return;
@@ -152,7 +152,7 @@
 void once_runner::tombstone(const wire::tombstone& asked_for, const send_function& send) {
     const auto found = this->pools.find(asked_for.pool);
     if (found == this->pools.end()) {
-        send(wire::tombstoned{asked_for.attempt, static_cast<int>(base::ran::unknown)});
+        send(wire::tombstoned{asked_for.attempt, static_cast<int>(base::execution_state::unknown)});
         return;
     }
     this->tombstone_askers[asked_for.attempt] = send;
@@ -207,7 +207,7 @@
 
 void once_runner::carry_out_one(const pool_ptr& pool, const once::commit_action& todo) {
     this->around.platform.commit(
-        todo.change, [this, pool](const base::result<ports::committed>& answer) {
+        todo.change, [this, pool](const base::result<ports::commit_result>& answer) {
             this->carry_out(pool, once::on_committed(pool->ledger, answer, this->moment()));
         });
 }
@@ -217,7 +217,7 @@
     if (found == pool->orders.end()) {
         this->carry_out(pool,
                         once::on_failed(pool->ledger, todo.key, base::code::once_cannot_record,
-                                        base::ran::not_run, this->moment()));
+                                        base::execution_state::not_run, this->moment()));
         return;
     }
     const wire::order order = found->second;
@@ -228,7 +228,8 @@
         pool->orders.erase(key.value);
         const bool never_left = number == base::code::upstream_unreachable;
         this->carry_out(pool, once::on_failed(pool->ledger, key, number,
-                                              never_left ? base::ran::not_run : base::ran::unknown,
+                                              never_left ? base::execution_state::not_run
+                                                         : base::execution_state::unknown,
                                               this->moment()));
     };
     *call = this->around.upstream.send(
--- a/src/agent/order_runner.cpp
+++ b/src/agent/order_runner.cpp
@@ -54,7 +54,7 @@
 void order_runner::submit(const wire::order& order, send_function send) {
     const base::instant now = this->clock.now();
     if (this->leaving) {
-        this->refuse(order, send, base::code::upstream_leaving, base::ran::not_run,
+        this->refuse(order, send, base::code::upstream_leaving, base::execution_state::not_run,
                      least_retry_after);
         return;
     }
@@ -83,7 +83,7 @@
     if (!admitted.has_value()) {
         const auto ahead = admission::predicted_wait(this->queue, order.priority, wait);
         this->refuse(order, active->sender.send, base::to_code(admitted.error()),
-                     base::ran::not_run, retry_after(ahead));
+                     base::execution_state::not_run, retry_after(ahead));
         return;
     }
     routing::note_taken(this->cache, active->chain, now);
@@ -103,7 +103,8 @@
     }
     this->timeline->mark("order_passed_on", order.attempt);
     send(wire::refused{order.attempt, static_cast<int>(base::code::passed_on),
-                       static_cast<int>(base::ran::not_run), 0, this->load(), answer.holders});
+                       static_cast<int>(base::execution_state::not_run), 0, this->load(),
+                       answer.holders});
     return true;
 }
 
@@ -112,7 +113,7 @@
 }
 
 void order_runner::refuse(const wire::order& order, const send_function& send, base::code number,
-                          base::ran ran, base::milliseconds retry_after) {
+                          base::execution_state ran, base::milliseconds retry_after) {
     this->metrics->count("camphorrail_refusals_total",
                          {{"code", std::to_string(static_cast<int>(number))},
                           {"ran", std::string(base::to_string(ran))}});
@@ -241,7 +242,8 @@
     }
     const bool never_left = number == base::code::upstream_unreachable;
     this->refuse(active->order, active->sender.send, number,
-                 never_left ? base::ran::not_run : base::ran::unknown, least_retry_after);
+                 never_left ? base::execution_state::not_run : base::execution_state::unknown,
+                 least_retry_after);
     this->pump();
 }
 
@@ -279,8 +281,8 @@
         const auto found = this->waiting.find(order.attempt.value);
         const active_ptr active = found->second;
         this->waiting.erase(found);
-        this->refuse(active->order, active->sender.send, base::code::timed_out, base::ran::not_run,
-                     least_retry_after);
+        this->refuse(active->order, active->sender.send, base::code::timed_out,
+                     base::execution_state::not_run, least_retry_after);
     }
 }
 
--- a/src/agent/order_runner.h
+++ b/src/agent/order_runner.h
@@ -45,7 +45,7 @@
     using active_ptr = std::shared_ptr<active_order>;
 
     void refuse(const wire::order& order, const send_function& send, base::code number,
-                base::ran ran, base::milliseconds retry_after);
+                base::execution_state ran, base::milliseconds retry_after);
     bool pass_on(const wire::order& order, const prefix::prefix_chain& chain,
                  const send_function& send);
     [[nodiscard]] bool has_room() const;
--- a/src/base/codes.cpp
+++ b/src/base/codes.cpp
@@ -129,13 +129,13 @@
     return found == table.end() ? unlisted : *found;
 }
 
-std::string_view to_string(ran value) {
+std::string_view to_string(execution_state value) {
     switch (value) {
-    case ran::not_run:
+    case execution_state::not_run:
         return "not_run";
-    case ran::completed:
+    case execution_state::completed:
         return "completed";
-    case ran::unknown:
+    case execution_state::unknown:
         break;
     }
     return "unknown";
--- a/src/base/codes.h
+++ b/src/base/codes.h
@@ -8,7 +8,7 @@
 
 // Whether the request that an answer refuses has run. A refusal says `not_run` only where the
 // attempt can no longer run either.
-enum class ran { not_run, unknown, completed };
+enum class execution_state { not_run, unknown, completed };
 
 // Numbered result codes. docs/RESULT-CODES.md lists them for operators; a test holds both equal.
 // A number, once given out, keeps its meaning.
@@ -91,7 +91,7 @@
 // The published entry of a code.
 const code_entry& describe(code number);
 
-std::string_view to_string(ran value);
+std::string_view to_string(execution_state value);
 
 const std::error_category& code_category();
 std::error_code make_error_code(code number);
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -11,7 +11,7 @@
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-std::uint64_t mix(std::uint64_t left, std::uint64_t right) {
+std::uint64_t combine_hashes(std::uint64_t left, std::uint64_t right) {
     const std::array<std::uint64_t, 2> both{left, right};
     return XXH3_64bits(both.data(), sizeof both);
 }
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -10,7 +10,7 @@
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed = 0);
 
 // Mixes two hashes into one; order matters.
-std::uint64_t mix(std::uint64_t left, std::uint64_t right);
+std::uint64_t combine_hashes(std::uint64_t left, std::uint64_t right);
 
 // SHA-256 in lower-case hex; for callers' keys, which are kept only in this form.
 std::string sha256_hex(std::string_view bytes);
--- a/src/base/random.cpp
+++ b/src/base/random.cpp
@@ -4,7 +4,7 @@
 
 namespace camphorrail::base {
 
-std::uint64_t next(random_source& source) {
+std::uint64_t random_bits(random_source& source) {
     source.state += 0x9e3779b97f4a7c15ULL;
     std::uint64_t bits = source.state;
     bits = (bits ^ (bits >> 30U)) * 0xbf58476d1ce4e5b9ULL;
@@ -12,17 +12,17 @@
     return bits ^ (bits >> 31U);
 }
 
-std::uint64_t below(random_source& source, std::uint64_t bound) {
-    return next(source) % bound;
+std::uint64_t random_below(random_source& source, std::uint64_t bound) {
+    return random_bits(source) % bound;
 }
 
-double unit(random_source& source) {
+double random_unit(random_source& source) {
     constexpr double scale = 1.0 / 9007199254740992.0; // 2^-53
-    return static_cast<double>(next(source) >> 11U) * scale;
+    return static_cast<double>(random_bits(source) >> 11U) * scale;
 }
 
-double exponential(random_source& source, double mean) {
-    return -mean * std::log1p(-unit(source));
+double random_exponential(random_source& source, double mean) {
+    return -mean * std::log1p(-random_unit(source));
 }
 
 } // namespace camphorrail::base
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -11,15 +11,15 @@
 };
 
 // The next 64 random bits.
-std::uint64_t next(random_source& source);
+std::uint64_t random_bits(random_source& source);
 
 // A whole number from 0 to bound - 1; bound is above 0.
-std::uint64_t below(random_source& source, std::uint64_t bound);
+std::uint64_t random_below(random_source& source, std::uint64_t bound);
 
 // A number from 0 up to, but without, 1.
-double unit(random_source& source);
+double random_unit(random_source& source);
 
 // An exponentially distributed span with the given mean.
-double exponential(random_source& source, double mean);
+double random_exponential(random_source& source, double mean);
 
 } // namespace camphorrail::base
--- a/src/base/teller_clock.h
+++ b/src/base/sender_clock.h
@@ -12,23 +12,23 @@
 // when the teller would have started if the message had taken no time; the earliest such moment is
 // the true one, but for the way of the quickest message. Clocks that run apart, or stand still with
 // their VM, do so slowly or seldom, so only the quickest of the last messages counts.
-struct teller_clock {
+struct sender_clock {
     // The earliest start by the messages of the present period, and of the one before.
-    std::optional<instant> started;
-    instant started_before{};
-    instant period_began{};
+    std::optional<instant> current_earliest_start;
+    instant previous_earliest_start{};
+    instant period_start{};
     micros longest_uptime{0};
 };
 
-struct teller_clock_rules {
+struct sender_clock_rules {
     micros period = seconds(10);
     // No message lies unread for longer. One that seems to is of an earlier life of its teller.
-    micros longest_unread = seconds(10);
+    micros max_delay = seconds(10);
 };
 
 // When a message was written. `latest`: when it can have been written at the latest; that it was
 // read then is known, and how long others had it that passed it on.
-instant written_at(teller_clock& state, micros uptime, instant latest,
-                   const teller_clock_rules& rules = {});
+instant estimate_sent_at(sender_clock& state, micros uptime, instant latest,
+                         const sender_clock_rules& rules = {});
 
 } // namespace camphorrail::base
--- a/src/base/teller_clock_tests.cpp
+++ b/src/base/sender_clock_tests.cpp
@@ -1,4 +1,4 @@
-#include "base/teller_clock.h"
+#include "base/sender_clock.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,13 +9,13 @@
 
 // One entry hears another one, with the time in milliseconds.
 struct hearing {
-    base::teller_clock clock;
+    base::sender_clock clock;
 
     // Gives how long ago the message was written, as far as this entry can tell.
     std::int64_t age(int uptime_ms, int read_ms, int passed_on_for_ms = 0) {
         const base::instant now{milliseconds(1'000'000 + read_ms)};
-        const auto written = base::written_at(this->clock, milliseconds(uptime_ms),
-                                              now - milliseconds(passed_on_for_ms));
+        const auto written = base::estimate_sent_at(this->clock, milliseconds(uptime_ms),
+                                                    now - milliseconds(passed_on_for_ms));
         return std::chrono::duration_cast<milliseconds>(now - written).count();
     }
 
--- a/src/config/delta_tests.cpp
+++ b/src/config/delta_tests.cpp
@@ -14,11 +14,11 @@
 // One random change of an operator; the same configuration where it does not apply.
 base::result<config::configuration> change(const config::configuration& config,
                                            base::random_source& random) {
-    const std::string name = "u" + std::to_string(base::below(random, 6));
+    const std::string name = "u" + std::to_string(base::random_below(random, 6));
     config::upstream item;
     item.id.value = name;
     item.link = "10.0.0.1:1";
-    switch (base::below(random, 5)) {
+    switch (base::random_below(random, 5)) {
     case 0:
         return config::add_upstream(config, item);
     case 1:
--- a/src/control/config_store.cpp
+++ b/src/control/config_store.cpp
@@ -117,16 +117,16 @@
             return;
         }
         ports::transaction change;
-        change.expectations.push_back({process::config_key, present.version.value});
+        change.preconditions.push_back({process::config_key, present.version.value});
         change.writes.push_back({process::config_key, document});
         change.writes.push_back({process::deltas_key, next_deltas(present, stored, document)});
         change.writes.push_back({history_key(this->note), to_text(this->note)});
         trim_history(history, change);
         const auto held = this->shared_from_this();
-        this->platform.commit(
-            change, [held, config = edited.value()](const base::result<ports::committed>& answer) {
-                held->on_committed(answer, config);
-            });
+        this->platform.commit(change, [held, config = edited.value()](
+                                          const base::result<ports::commit_result>& answer) {
+            held->on_committed(answer, config);
+        });
     }
 
     // The log of deltas with this change added. It is written together with the document, so both
@@ -156,7 +156,7 @@
         }
     }
 
-    void on_committed(const base::result<ports::committed>& answer,
+    void on_committed(const base::result<ports::commit_result>& answer,
                       const config::configuration& config) {
         if (answer.has_value() && answer.value().applied) {
             this->done(changed{{answer.value().revision}, config});
@@ -241,7 +241,7 @@
             record.value().closed = true;
             record.value().clean = false;
             record.value().closed_at_ms = wall_ms;
-            change.expectations.push_back({item.key, item.mod_revision});
+            change.preconditions.push_back({item.key, item.mod_revision});
             change.writes.push_back({item.key, once::to_text(record.value())});
         }
         const int count = static_cast<int>(change.writes.size());
@@ -249,7 +249,7 @@
             done(0);
             return;
         }
-        platform.commit(change, [=](const base::result<ports::committed>& answer) {
+        platform.commit(change, [=](const base::result<ports::commit_result>& answer) {
             if (!answer.has_value()) {
                 done(base::to_code(answer.error()));
             } else if (!answer.value().applied) {
--- a/src/control/config_store_tests.cpp
+++ b/src/control/config_store_tests.cpp
@@ -32,11 +32,11 @@
         made.commit = [this](const ports::transaction& change, auto done) {
             const auto rival = std::exchange(this->before_commit, [] {});
             rival();
-            for (const auto& expected : change.expectations) {
+            for (const auto& expected : change.preconditions) {
                 const auto found = this->values.find(expected.key);
                 if ((found == this->values.end() ? 0 : found->second.mod_revision) !=
                     expected.mod_revision) {
-                    done(ports::committed{false, this->revision});
+                    done(ports::commit_result{false, this->revision});
                     return;
                 }
             }
@@ -49,7 +49,7 @@
                 done(base::code::platform_unreachable);
                 return;
             }
-            done(ports::committed{true, this->revision});
+            done(ports::commit_result{true, this->revision});
         };
         return made;
     }
--- a/src/entry/caller_request.cpp
+++ b/src/entry/caller_request.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t longest_traceparent = 128;
 
 problem refusal(base::code number, std::string detail = "") {
-    return {number, base::ran::not_run, base::milliseconds{0}, std::move(detail)};
+    return {number, base::execution_state::not_run, base::milliseconds{0}, std::move(detail)};
 }
 
 std::optional<config::caller> authenticate(const http_request& request,
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -98,11 +98,13 @@
 
 void entry::on_request(const adapters::exchange_ptr& exchange) {
     if (this->stopping) {
-        process::reply_problem(*exchange, {base::code::shutting_down, base::ran::not_run, soon});
+        process::reply_problem(*exchange,
+                               {base::code::shutting_down, base::execution_state::not_run, soon});
         return;
     }
     if (!this->config.ready()) {
-        process::reply_problem(*exchange, {base::code::not_ready, base::ran::not_run, soon});
+        process::reply_problem(*exchange,
+                               {base::code::not_ready, base::execution_state::not_run, soon});
         return;
     }
     if (exchange->path() == "/v1/models") {
--- a/src/entry/keyed_requests.cpp
+++ b/src/entry/keyed_requests.cpp
@@ -18,7 +18,8 @@
     if (this->owner_rank >= std::min(this->owners.size(), most_owner_ranks)) {
         const bool never_sent = this->attempts == 0 && this->request.key_is_ours;
         this->give_up({never_sent ? base::code::no_upstream : base::code::once_outcome_unknown,
-                       never_sent ? base::ran::not_run : base::ran::unknown, soon});
+                       never_sent ? base::execution_state::not_run : base::execution_state::unknown,
+                       soon});
         return;
     }
     this->send_order(this->owners[this->owner_rank]);
@@ -31,7 +32,7 @@
                              number == base::code::once_wrong_incarnation;
     this->end_attempt();
     if (!not_decided) {
-        this->give_up({number, static_cast<base::ran>(message.ran),
+        this->give_up({number, static_cast<base::execution_state>(message.ran),
                        base::milliseconds(message.retry_after_ms)});
         return;
     }
@@ -67,7 +68,7 @@
     if (message.attempt != this->attempt.value || !this->awaiting_tombstone) {
         return;
     }
-    this->give_up({base::code::timed_out, static_cast<base::ran>(message.ran), soon});
+    this->give_up({base::code::timed_out, static_cast<base::execution_state>(message.ran), soon});
 }
 
 void request_flow::keep_alive() {
--- a/src/entry/request_answers.cpp
+++ b/src/entry/request_answers.cpp
@@ -21,7 +21,7 @@
 // Whether a frame counts; one that shows that others were lost fails the attempt.
 bool request_flow::accepted(stream::verdict verdict) {
     if (verdict == stream::verdict::cut) {
-        this->attempt_failed(base::code::stream_cut, base::ran::unknown);
+        this->attempt_failed(base::code::stream_cut, base::execution_state::unknown);
     }
     return verdict == stream::verdict::deliver;
 }
@@ -37,7 +37,7 @@
     }
     this->body += message.bytes;
     if (this->body.size() > max_buffered_answer) {
-        this->give_up({base::code::upstream_answer_malformed, base::ran::unknown});
+        this->give_up({base::code::upstream_answer_malformed, base::execution_state::unknown});
         return;
     }
     this->owed_credit += static_cast<std::int64_t>(message.bytes.size());
--- a/src/entry/request_flow.cpp
+++ b/src/entry/request_flow.cpp
@@ -94,7 +94,7 @@
         next = choose();
     }
     if (!next) {
-        this->give_up({base::code::no_upstream, base::ran::not_run, soon});
+        this->give_up({base::code::no_upstream, base::execution_state::not_run, soon});
         return;
     }
     this->made = *next;
@@ -190,7 +190,7 @@
         return;
     }
     const auto number = static_cast<base::code>(message.code);
-    const auto ran = static_cast<base::ran>(message.ran);
+    const auto ran = static_cast<base::execution_state>(message.ran);
     if (number == base::code::passed_on && !this->passed_on &&
         routing::shared_level(this->request.chain) != nullptr) {
         this->on_passed_on(message);
@@ -205,9 +205,9 @@
 }
 
 // A routed attempt has failed, or was refused where another upstream may do better.
-void request_flow::attempt_failed(base::code number, base::ran ran) {
+void request_flow::attempt_failed(base::code number, base::execution_state ran) {
     if (this->once()) {
-        this->give_up({base::code::once_outcome_unknown, base::ran::unknown, soon});
+        this->give_up({base::code::once_outcome_unknown, base::execution_state::unknown, soon});
         return;
     }
     this->last_failure = number;
@@ -246,12 +246,12 @@
         return;
     }
     if (!this->once()) {
-        this->attempt_failed(base::code::link_silent, base::ran::unknown);
+        this->attempt_failed(base::code::link_silent, base::execution_state::unknown);
         return;
     }
     this->end_attempt();
     if (this->awaiting_tombstone) {
-        this->give_up({base::code::once_outcome_unknown, base::ran::unknown, soon});
+        this->give_up({base::code::once_outcome_unknown, base::execution_state::unknown, soon});
         return;
     }
     // The owner may have the order, have run it or never seen it. Asking the same owner again over
@@ -277,7 +277,8 @@
     }
     if (!this->once() || this->attempt.empty()) {
         this->give_up(
-            {base::code::timed_out, this->once() ? base::ran::unknown : base::ran::not_run, soon});
+            {base::code::timed_out,
+             this->once() ? base::execution_state::unknown : base::execution_state::not_run, soon});
         return;
     }
     // The caller must be told whether it ran. The owner calls the attempt off if it has not left
@@ -290,7 +291,7 @@
     this->around->loop->after(tombstone_wait, [weak] {
         const auto held = weak.lock();
         if (held && !held->is_over) {
-            held->give_up({base::code::once_outcome_unknown, base::ran::unknown, soon});
+            held->give_up({base::code::once_outcome_unknown, base::execution_state::unknown, soon});
         }
     });
 }
--- a/src/entry/request_flow.h
+++ b/src/entry/request_flow.h
@@ -65,7 +65,7 @@
     template <class Other>
     void handle_one(const Other& /*not for a request*/) {}
     bool accepted(stream::verdict verdict);
-    void attempt_failed(base::code number, base::ran ran);
+    void attempt_failed(base::code number, base::execution_state ran);
     void owner_refused(const wire::refused& message);
     void next_owner(bool wait_first);
     void deliver(const std::string& bytes);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -11,7 +11,7 @@
 
 bool same(const ports::listed_upstream& left, const ports::listed_upstream& right) {
     return left.incarnation == right.incarnation && left.address == right.address &&
-           left.leaving == right.leaving && left.models == right.models &&
+           left.draining == right.draining && left.models == right.models &&
            left.pool == right.pool && left.slots == right.slots;
 }
 
@@ -36,18 +36,18 @@
 
 } // namespace
 
-void begin_life(member& one, base::upstream_incarnation incarnation) {
-    one.earlier_lives.push_back(one.listed.incarnation);
-    if (one.earlier_lives.size() > most_earlier_lives) {
-        one.earlier_lives.erase(one.earlier_lives.begin());
+void start_incarnation(member& one, base::upstream_incarnation incarnation) {
+    one.previous_incarnations.push_back(one.listed.incarnation);
+    if (one.previous_incarnations.size() > most_earlier_lives) {
+        one.previous_incarnations.erase(one.previous_incarnations.begin());
     }
     member begun;
     begun.listed = std::move(one.listed);
     begun.listed.incarnation = incarnation;
     begun.id_hash = one.id_hash;
     begun.short_lane = one.short_lane;
-    begun.missing_since = one.missing_since;
-    begun.earlier_lives = std::move(one.earlier_lives);
+    begun.unlisted_since = one.unlisted_since;
+    begun.previous_incarnations = std::move(one.previous_incarnations);
     one = std::move(begun);
 }
 
@@ -62,61 +62,61 @@
     return same_life ? &found->second : nullptr;
 }
 
-bool has_ended(const member& one, base::upstream_incarnation incarnation) {
-    return std::find(one.earlier_lives.begin(), one.earlier_lives.end(), incarnation) !=
-           one.earlier_lives.end();
+bool incarnation_ended(const member& one, base::upstream_incarnation incarnation) {
+    return std::find(one.previous_incarnations.begin(), one.previous_incarnations.end(),
+                     incarnation) != one.previous_incarnations.end();
 }
 
-bool note_says_leaving(fleet& state, const base::upstream_instance& upstream, base::instant now) {
+bool record_drain_report(fleet& state, const base::upstream_instance& upstream, base::instant now) {
     auto* one = find_instance(state, upstream);
-    if (one == nullptr || one->says_leaving_since) {
+    if (one == nullptr || one->drain_reported_at) {
         return false;
     }
-    one->says_leaving_since = now;
+    one->drain_reported_at = now;
     return true;
 }
 
-void withdraw(fleet& state, const base::upstream_id& id) {
+void mark_replaced(fleet& state, const base::upstream_id& id) {
     const auto found = state.members.find(id);
     if (found != state.members.end()) {
-        found->second.listed.leaving = true;
+        found->second.listed.draining = true;
     }
 }
 
-list_change take_list(fleet& state, const std::vector<ports::listed_upstream>& listed,
-                      base::instant now) {
-    list_change change;
+list_diff apply_list(fleet& state, const std::vector<ports::listed_upstream>& listed,
+                     base::instant now) {
+    list_diff change;
     std::set<base::upstream_id> present;
     for (const auto& each : listed) {
         present.insert(each.id);
         const auto [found, is_new] = state.members.try_emplace(each.id);
         auto& one = found->second;
-        if (!is_new && has_ended(one, each.incarnation)) {
+        if (!is_new && incarnation_ended(one, each.incarnation)) {
             continue;
         }
         if (is_new) {
             change.added.push_back(each.id);
-            const auto left = state.departed.find({each.id, each.incarnation});
-            if (left != state.departed.end()) {
-                one.says_leaving_since = left->second;
+            const auto left = state.drained.find({each.id, each.incarnation});
+            if (left != state.drained.end()) {
+                one.drain_reported_at = left->second;
             }
-        } else if (one.missing_since || !same(one.listed, each)) {
+        } else if (one.unlisted_since || !same(one.listed, each)) {
             change.changed.push_back(each.id);
         }
         if (!is_new && is_other_life(one.listed.incarnation, each.incarnation)) {
-            begin_life(one, each.incarnation);
+            start_incarnation(one, each.incarnation);
             change.restarted.push_back(each.id);
         }
         if (!is_new && one.listed.models != each.models) {
-            change.reweighted.push_back(each.id);
+            change.weights_changed.push_back(each.id);
         }
         one.listed = each;
         one.id_hash = base::stable_hash(each.id.value);
-        one.missing_since.reset();
+        one.unlisted_since.reset();
     }
     for (auto& [id, one] : state.members) {
-        if (present.count(id) == 0 && !one.missing_since) {
-            one.missing_since = now;
+        if (present.count(id) == 0 && !one.unlisted_since) {
+            one.unlisted_since = now;
             change.removed.push_back(id);
         }
     }
@@ -126,37 +126,37 @@
 namespace {
 
 void remember_departed(fleet& state, const base::upstream_instance& upstream, base::instant since) {
-    if (state.departed.size() >= most_departed) {
-        state.departed.erase(std::min_element(
-            state.departed.begin(), state.departed.end(),
+    if (state.drained.size() >= most_departed) {
+        state.drained.erase(std::min_element(
+            state.drained.begin(), state.drained.end(),
             [](const auto& left, const auto& right) { return left.second < right.second; }));
     }
-    state.departed[upstream] = since;
+    state.drained[upstream] = since;
 }
 
 } // namespace
 
-std::vector<base::upstream_id> drop_missing(fleet& state, base::instant now,
-                                            const fleet_rules& rules) {
+std::vector<base::upstream_id> prune_unlisted(fleet& state, base::instant now,
+                                              const fleet_rules& rules) {
     std::vector<base::upstream_id> dropped;
     for (auto it = state.members.begin(); it != state.members.end();) {
         const member& one = it->second;
-        const bool over = one.missing_since && one.ours.in_flight == 0 &&
-                          now - *one.missing_since > rules.missing_grace;
+        const bool over = one.unlisted_since && one.local_work.in_flight == 0 &&
+                          now - *one.unlisted_since > rules.unlisted_grace;
         if (over) {
             dropped.push_back(it->first);
         }
-        if (over && one.says_leaving_since) {
-            remember_departed(state, instance_of(one), *one.says_leaving_since);
+        if (over && one.drain_reported_at) {
+            remember_departed(state, instance_of(one), *one.drain_reported_at);
         }
         it = over ? state.members.erase(it) : std::next(it);
     }
-    std::erase_if(state.departed,
+    std::erase_if(state.drained,
                   [now](const auto& each) { return now - each.second > departed_lifetime; });
     return dropped;
 }
 
-std::int64_t weights_of(const member& one, const base::model_id& model) {
+std::int64_t weights_version_of(const member& one, const base::model_id& model) {
     for (const auto& [name, version] : one.listed.models) {
         if (name == model) {
             return version;
@@ -165,32 +165,32 @@
     return 0;
 }
 
-bool is_listed(const member& one) {
-    return !one.listed.leaving && !one.missing_since && !one.says_leaving_since;
+bool is_available(const member& one) {
+    return !one.listed.draining && !one.unlisted_since && !one.drain_reported_at;
 }
 
-bool may_still_serve(const member& one, base::instant now, const fleet_rules& rules) {
+bool may_serve_in_grace(const member& one, base::instant now, const fleet_rules& rules) {
     const auto lately = [&](const std::optional<base::instant>& since) {
-        return !since || now - *since <= rules.missing_grace;
+        return !since || now - *since <= rules.unlisted_grace;
     };
-    return !one.listed.leaving && lately(one.missing_since) && lately(one.says_leaving_since);
+    return !one.listed.draining && lately(one.unlisted_since) && lately(one.drain_reported_at);
 }
 
 bool is_suspected(const member& one, base::instant now) {
     return !membership::usable(one.health, now) || now < one.suspected_until;
 }
 
-base::instant takes_nothing_before(const member& one) {
+base::instant unavailable_until(const member& one) {
     return std::max(one.busy_until, one.pause_until);
 }
 
-void note_pause(member& one, base::micros span, base::instant now) {
+void record_pause(member& one, base::micros span, base::instant now) {
     const base::instant until = now + std::min<base::micros>(span, longest_pause);
     one.pause_until = std::max(one.pause_until, until);
 }
 
-bool is_fit(const member& one, base::instant now) {
-    return is_listed(one) && !is_suspected(one, now) && now >= takes_nothing_before(one);
+bool is_eligible(const member& one, base::instant now) {
+    return is_available(one) && !is_suspected(one, now) && now >= unavailable_until(one);
 }
 
 std::vector<member*> candidates(fleet& state, const base::pool_id& pool, base::instant now,
@@ -204,15 +204,16 @@
         if (one.listed.pool != pool) {
             continue;
         }
-        any_listed = any_listed || (!one.missing_since && !one.says_leaving_since);
+        any_listed = any_listed || (!one.unlisted_since && !one.drain_reported_at);
         if (contains(except, id)) {
             continue;
         }
-        if (is_fit(one, now)) {
+        if (is_eligible(one, now)) {
             fit.push_back(&one);
-        } else if (is_listed(one) && now >= takes_nothing_before(one)) {
+        } else if (is_available(one) && now >= unavailable_until(one)) {
             suspected.push_back(&one);
-        } else if (!is_listed(one) && now >= one.pause_until && may_still_serve(one, now, rules)) {
+        } else if (!is_available(one) && now >= one.pause_until &&
+                   may_serve_in_grace(one, now, rules)) {
             last_resort.push_back(&one);
         }
     }
@@ -228,34 +229,34 @@
     return any_listed ? std::vector<member*>{} : last_resort;
 }
 
-workload all_work(const member& one, base::instant now) {
-    workload all = one.ours;
-    for (const auto& [entry, load] : one.elsewhere) {
-        if (now <= load.until) {
+workload total_work(const member& one, base::instant now) {
+    workload all = one.local_work;
+    for (const auto& [entry, load] : one.remote_work) {
+        if (now <= load.expires_at) {
             all += load.work;
         }
     }
     return all;
 }
 
-std::int64_t unread_tokens(const member& one, base::instant now, double tokens_a_ms) {
+std::int64_t estimate_unread_tokens(const member& one, base::instant now, double tokens_a_ms) {
     double told = 0.0;
     double told_ms = 0.0;
-    for (const auto& [entry, load] : one.elsewhere) {
-        if (now <= load.until) {
+    for (const auto& [entry, load] : one.remote_work) {
+        if (now <= load.expires_at) {
             const auto tokens = static_cast<double>(load.work.unread_tokens);
-            const std::chrono::duration<double, std::milli> age = now - load.told_at;
+            const std::chrono::duration<double, std::milli> age = now - load.reported_at;
             told += tokens;
             told_ms += tokens * age.count();
         }
     }
     const double read = told > 0.0 ? tokens_a_ms * told_ms / told : 0.0;
-    return one.ours.unread_tokens + static_cast<std::int64_t>(std::max(0.0, told - read));
+    return one.local_work.unread_tokens + static_cast<std::int64_t>(std::max(0.0, told - read));
 }
 
 std::int64_t estimated_load(const member& one, base::instant now, const fleet_rules& rules) {
-    const std::int64_t known = all_work(one, now).in_flight;
-    if (!one.load || now - one.load_at > rules.load_lifetime) {
+    const std::int64_t known = total_work(one, now).in_flight;
+    if (!one.load || now - one.load_at > rules.load_report_ttl) {
         return known;
     }
     // The report counts the request that it came with, which has ended.
@@ -275,7 +276,7 @@
     for (member* one : among) {
         const auto slots = static_cast<double>(std::max<std::int64_t>(one->listed.slots, 1));
         const rank mine{static_cast<double>(estimated_load(*one, now, rules)) / slots,
-                        one->listed.zone != zone, base::mix(number, one->id_hash)};
+                        one->listed.zone != zone, base::combine_hashes(number, one->id_hash)};
         if (best == nullptr || mine < best_rank) {
             best = one;
             best_rank = mine;
--- a/src/fleet/fleet_tests.cpp
+++ b/src/fleet/fleet_tests.cpp
@@ -34,52 +34,52 @@
     fleet::fleet state;
     auto listed = upstream("one");
     listed.incarnation = {500};
-    fleet::take_list(state, {listed}, at(0));
+    fleet::apply_list(state, {listed}, at(0));
     auto& one = state.members.at({"one"});
     one.health.ejected_until = at(9000);
     one.suspected_until = at(9000);
     one.busy_until = at(9000);
-    one.ours.in_flight = 3;
-    one.elsewhere[{"entry-2"}] = {{4, 100, 100, 0}, at(9000)};
+    one.local_work.in_flight = 3;
+    one.remote_work[{"entry-2"}] = {{4, 100, 100, 0}, at(9000)};
     one.load = ports::reported_load{6, 2, 6};
     const std::int64_t born = GENERATE(std::int64_t{700}, std::int64_t{400});
     listed.incarnation = {born};
-    const auto change = fleet::take_list(state, {listed}, at(10));
+    const auto change = fleet::apply_list(state, {listed}, at(10));
     REQUIRE(change.restarted == std::vector<base::upstream_id>{{"one"}});
-    CHECK(fleet::is_fit(one, at(11)));
+    CHECK(fleet::is_eligible(one, at(11)));
     CHECK(fleet::estimated_load(one, at(11), {}) == 0);
     CHECK(fleet::find_instance(state, {{"one"}, {born}}) == &one);
     CHECK(fleet::find_instance(state, {{"one"}, {500}}) == nullptr);
 
     SECTION("and a late heartbeat of its earlier life changes nothing") {
-        one.ours.in_flight = 1;
+        one.local_work.in_flight = 1;
         listed.incarnation = {500};
-        listed.leaving = true;
-        CHECK(fleet::take_list(state, {listed}, at(20)).restarted.empty());
+        listed.draining = true;
+        CHECK(fleet::apply_list(state, {listed}, at(20)).restarted.empty());
         CHECK(one.listed.incarnation.value == born);
-        CHECK(one.ours.in_flight == 1);
-        CHECK(fleet::is_fit(one, at(21)));
+        CHECK(one.local_work.in_flight == 1);
+        CHECK(fleet::is_eligible(one, at(21)));
     }
 }
 
 TEST_CASE("an upstream that begins to say when it started has not started again", "[fleet]") {
     fleet::fleet state;
     auto listed = upstream("one");
-    fleet::take_list(state, {listed}, at(0));
+    fleet::apply_list(state, {listed}, at(0));
     listed.incarnation = {500};
-    CHECK(fleet::take_list(state, {listed}, at(10)).restarted.empty());
+    CHECK(fleet::apply_list(state, {listed}, at(10)).restarted.empty());
 }
 
 // Another program writes over an engine's entry in the list. A vanished engine is a last resort,
 // since entries lapse while the platform's store is away; one that was written over is not.
 TEST_CASE("an upstream whose entry was written over gets nothing", "[fleet]") {
     fleet::fleet state;
-    fleet::take_list(state, {upstream("one")}, at(0));
-    fleet::take_list(state, {}, at(10));
+    fleet::apply_list(state, {upstream("one")}, at(0));
+    fleet::apply_list(state, {}, at(10));
     CHECK(fleet::candidates(state, {"pool"}, at(11), {}, {}).size() == 1);
-    fleet::withdraw(state, {"one"});
+    fleet::mark_replaced(state, {"one"});
     CHECK(fleet::candidates(state, {"pool"}, at(11), {}, {}).empty());
-    fleet::take_list(state, {upstream("one")}, at(12));
+    fleet::apply_list(state, {upstream("one")}, at(12));
     CHECK(fleet::candidates(state, {"pool"}, at(13), {}, {}).size() == 1);
 }
 
@@ -94,8 +94,8 @@
     const auto now = [&](int millis, std::vector<base::upstream_id> except = {}) {
         return names(fleet::candidates(state, {"pool"}, at(millis), rules, except));
     };
-    fleet::take_list(state, {upstream("one"), upstream("two"), upstream("three")}, at(0));
-    fleet::take_list(state, {upstream("two"), upstream("three")}, at(10));
+    fleet::apply_list(state, {upstream("one"), upstream("two"), upstream("three")}, at(0));
+    fleet::apply_list(state, {upstream("two"), upstream("three")}, at(10));
     CHECK(now(11) == ids{"three", "two"});
     CHECK(now(11, {{"two"}, {"three"}}).empty());
     state.members.at({"two"}).busy_until = at(100);
@@ -104,13 +104,13 @@
 
     SECTION("also where those leave too") {
         auto leaving = upstream("two");
-        leaving.leaving = true;
-        fleet::take_list(state, {leaving}, at(12));
+        leaving.draining = true;
+        fleet::apply_list(state, {leaving}, at(12));
         CHECK(now(13).empty());
     }
     // While the platform's store is away the entries of a whole pool run out, and are back soon.
     SECTION("but not where the whole pool vanishes") {
-        fleet::take_list(state, {}, at(12));
+        fleet::apply_list(state, {}, at(12));
         CHECK(now(13) == ids{"one", "three", "two"});
     }
 }
@@ -118,7 +118,7 @@
 TEST_CASE("new requests go to upstreams that nothing speaks against", "[fleet]") {
     fleet::fleet state;
     const fleet::fleet_rules rules;
-    fleet::take_list(state, {upstream("one"), upstream("two"), upstream("three")}, at(0));
+    fleet::apply_list(state, {upstream("one"), upstream("two"), upstream("three")}, at(0));
     const auto now = [&](int millis, std::vector<base::upstream_id> except = {}) {
         return names(fleet::candidates(state, {"pool"}, at(millis), rules, except));
     };
@@ -127,15 +127,15 @@
 
     SECTION("not to one that leaves") {
         auto leaving = upstream("two");
-        leaving.leaving = true;
-        fleet::take_list(state, {upstream("one"), leaving, upstream("three")}, at(5));
+        leaving.draining = true;
+        fleet::apply_list(state, {upstream("one"), leaving, upstream("three")}, at(5));
         CHECK(now(6) == ids{"one", "three"});
     }
     SECTION("nor to one that is suspected or busy, as long as others are there") {
         state.members.at({"one"}).health.ejected_until = at(100);
         state.members.at({"two"}).busy_until = at(100);
         CHECK(now(6) == ids{"three"});
-        fleet::take_list(state, {upstream("one"), upstream("two")}, at(7));
+        fleet::apply_list(state, {upstream("one"), upstream("two")}, at(7));
         CHECK(now(8) == ids{"one"});
         CHECK(now(100) == ids{"one", "two"});
     }
@@ -155,26 +155,26 @@
     // While the store is away, live upstreams lapse from its list all at once. Callers would be
     // refused although every upstream serves; so the newly vanished ones are the last resort.
     SECTION("and to one that has just vanished from the list only if none is left") {
-        fleet::take_list(state, {upstream("one")}, at(10));
+        fleet::apply_list(state, {upstream("one")}, at(10));
         CHECK(now(11) == ids{"one"});
-        fleet::take_list(state, {}, at(20));
+        fleet::apply_list(state, {}, at(20));
         CHECK(now(21) == ids{"one", "three", "two"});
         CHECK(now(1412) == ids{"one"});
         CHECK(now(1500).empty());
-        CHECK(fleet::drop_missing(state, at(1500), rules).size() == 3);
+        CHECK(fleet::prune_unlisted(state, at(1500), rules).size() == 3);
     }
 }
 
 TEST_CASE("plain calls go where the least waits", "[fleet]") {
     fleet::fleet state;
     const fleet::fleet_rules rules;
-    fleet::take_list(state, {upstream("far", "b"), upstream("near", "a")}, at(0));
+    fleet::apply_list(state, {upstream("far", "b"), upstream("near", "a")}, at(0));
     const auto pick = [&] {
         const auto all = fleet::candidates(state, {"pool"}, at(1), rules, {});
         return fleet::least_loaded(all, {"a"}, 7, at(1), rules)->listed.id.value;
     };
     CHECK(pick() == "near");
-    state.members.at({"near"}).ours.in_flight = 1;
+    state.members.at({"near"}).local_work.in_flight = 1;
     CHECK(pick() == "far");
     state.members.at({"far"}).load = ports::reported_load{5, 2, 6};
     CHECK(pick() == "near");
@@ -205,12 +205,12 @@
 TEST_CASE("a pause that an upstream asks for is kept, within reason", "[fleet]") {
     fleet::member one;
     const base::instant now{base::seconds(100)};
-    fleet::note_pause(one, base::seconds(4), now);
-    CHECK(fleet::takes_nothing_before(one) == now + base::seconds(4));
-    fleet::note_pause(one, base::seconds(1), now);
-    CHECK(fleet::takes_nothing_before(one) == now + base::seconds(4));
-    fleet::note_pause(one, base::minutes(1000000), now);
-    CHECK(fleet::takes_nothing_before(one) <= now + base::minutes(10));
+    fleet::record_pause(one, base::seconds(4), now);
+    CHECK(fleet::unavailable_until(one) == now + base::seconds(4));
+    fleet::record_pause(one, base::seconds(1), now);
+    CHECK(fleet::unavailable_until(one) == now + base::seconds(4));
+    fleet::record_pause(one, base::minutes(1000000), now);
+    CHECK(fleet::unavailable_until(one) <= now + base::minutes(10));
 }
 
 // The failure: upstreams come and go by their own word for months, until the entry's memory is
@@ -221,16 +221,16 @@
     base::instant now{base::seconds(100)};
     for (int each = 0; each < 1000; ++each) {
         const ports::listed_upstream listed{.id = {"i-" + std::to_string(each)}};
-        fleet::take_list(state, {listed}, now);
-        CHECK(fleet::note_says_leaving(state, {listed.id, {}}, now));
-        CHECK_FALSE(fleet::note_says_leaving(state, {listed.id, {}}, now));
-        fleet::take_list(state, {}, now);
+        fleet::apply_list(state, {listed}, now);
+        CHECK(fleet::record_drain_report(state, {listed.id, {}}, now));
+        CHECK_FALSE(fleet::record_drain_report(state, {listed.id, {}}, now));
+        fleet::apply_list(state, {}, now);
         now += base::seconds(2);
-        fleet::drop_missing(state, now, rules);
-        fleet::drop_missing(state, now, rules);
+        fleet::prune_unlisted(state, now, rules);
+        fleet::prune_unlisted(state, now, rules);
     }
     CHECK(state.members.size() <= 1);
-    CHECK(state.departed.size() <= 256);
-    fleet::drop_missing(state, now + base::minutes(20), rules);
-    CHECK(state.departed.empty());
+    CHECK(state.drained.size() <= 256);
+    fleet::prune_unlisted(state, now + base::minutes(20), rules);
+    CHECK(state.drained.empty());
 }
--- a/src/kvcache/homes.cpp
+++ b/src/kvcache/homes.cpp
@@ -44,7 +44,7 @@
                   const home_rules& rules) {
     scored_engines lane;
     for (const auto* one : pool_members) {
-        if (fleet::is_listed(*one) && in_lane(*one, chain)) {
+        if (fleet::is_available(*one) && in_lane(*one, chain)) {
             lane.push_back({0, one});
         }
     }
--- a/src/kvcache/lanes.cpp
+++ b/src/kvcache/lanes.cpp
@@ -42,7 +42,7 @@
     double wanted = 0.0;
     for (const auto* one : members) {
         const auto slots = static_cast<double>(std::max<std::int64_t>(one->listed.slots, 1));
-        const auto taken = static_cast<double>(fleet::all_work(*one, now).short_prompts);
+        const auto taken = static_cast<double>(fleet::total_work(*one, now).short_prompts);
         wanted += taken / (rules.taken_slots * slots);
     }
     return wanted;
@@ -79,7 +79,7 @@
     std::map<base::pool_id, std::vector<fleet::member*>> pools;
     for (auto& [id, one] : state.members) {
         one.short_lane = false;
-        if (fleet::is_listed(one)) {
+        if (fleet::is_available(one)) {
             pools[one.listed.pool].push_back(&one);
         }
     }
--- a/src/kvcache/lanes_tests.cpp
+++ b/src/kvcache/lanes_tests.cpp
@@ -28,14 +28,14 @@
                               .zone = {std::string(1, static_cast<char>('a' + each % 3))},
                               .slots = slots});
         }
-        fleet::take_list(this->state, listed, at(0));
+        fleet::apply_list(this->state, listed, at(0));
     }
 
     // Lets time pass with so many answers under way in all; gives the engines kept for short ones.
     std::size_t run(std::int64_t answers, int seconds) {
         const auto members = static_cast<std::int64_t>(this->state.members.size());
         for (auto& [id, one] : this->state.members) {
-            one.ours.short_prompts = answers / members;
+            one.local_work.short_prompts = answers / members;
         }
         constexpr int tick_ms = 100;
         for (const int until = this->time_ms + seconds * 1000; this->time_ms < until;
--- a/src/kvcache/overload_tests.cpp
+++ b/src/kvcache/overload_tests.cpp
@@ -113,7 +113,7 @@
                                 static_cast<double>(engines.size());
         while (next_arrival <= now) {
             arrive({now, now, false, ++number}, now);
-            next_arrival += base::exponential(random, 1000.0 / a_second);
+            next_arrival += base::random_exponential(random, 1000.0 / a_second);
         }
         std::vector<prompt> back;
         std::erase_if(returning, [&](const prompt& each) {
--- a/src/kvcache/placement.cpp
+++ b/src/kvcache/placement.cpp
@@ -48,13 +48,13 @@
 
 std::int64_t unread_at(const fleet::member& one, const placement_view& view) {
     const double token_ms = latency::reading_ms(view.model, {1.0, 0.0, 0.0});
-    return fleet::unread_tokens(one, view.now, token_ms > 0.0 ? 1.0 / token_ms : 0.0);
+    return fleet::estimate_unread_tokens(one, view.now, token_ms > 0.0 ? 1.0 / token_ms : 0.0);
 }
 
 // How long the prompt will probably wait at an engine before it is read.
 double expected_wait_ms(const fleet::member& one, const prompt_request& request,
                         const placement_view& view) {
-    const auto work = fleet::all_work(one, view.now);
+    const auto work = fleet::total_work(one, view.now);
     const latency::reading_work ahead{0.0, static_cast<double>(unread_at(one, view)), 0.0};
     return latency::reading_ms(view.model, ahead) + slots_ms(one, work, 1.0, view.costs) +
            memory_ms(work, 1.0, request, view.costs);
@@ -117,7 +117,7 @@
 offer make_offer(const candidate& one, std::size_t steps, const prompt_request& request,
                  const placement_view& view, const routes::kv_store* store) {
     const auto& costs = view.costs;
-    const auto work = fleet::all_work(*one.engine, view.now);
+    const auto work = fleet::total_work(*one.engine, view.now);
     offer made;
     made.target = &one;
     made.wait_ms = expected_wait_ms(*one.engine, request, view);
--- a/src/kvcache/prompt_chain.cpp
+++ b/src/kvcache/prompt_chain.cpp
@@ -6,12 +6,12 @@
 
 prompt_chain make_chain(const prompt_space& space, const std::vector<ports::prompt_part>& parts) {
     prompt_chain chain;
-    std::uint64_t key = base::mix(base::stable_hash(space.model.value),
-                                  base::stable_hash(space.isolated_team.value));
+    std::uint64_t key = base::combine_hashes(base::stable_hash(space.model.value),
+                                             base::stable_hash(space.isolated_team.value));
     std::int64_t tokens = 0;
     for (std::size_t level = 0; level + 1 < parts.size(); ++level) {
         const std::uint64_t part = base::stable_hash(parts[level].id);
-        key = base::mix(key, part);
+        key = base::combine_hashes(key, part);
         tokens += parts[level].size.value;
         chain.levels.push_back({key, part, parts[level].size.value, tokens});
     }
@@ -25,15 +25,15 @@
 }
 
 std::uint64_t key_at(std::uint64_t level_key, std::int64_t weights) {
-    return base::mix(level_key, static_cast<std::uint64_t>(weights));
+    return base::combine_hashes(level_key, static_cast<std::uint64_t>(weights));
 }
 
 std::uint64_t part_key(const std::string& salt, const std::string& part_id) {
-    return base::mix(base::stable_hash(salt), base::stable_hash(part_id));
+    return base::combine_hashes(base::stable_hash(salt), base::stable_hash(part_id));
 }
 
 std::uint64_t part_key(const std::string& salt, const prompt_level& level) {
-    return base::mix(base::stable_hash(salt), level.part);
+    return base::combine_hashes(base::stable_hash(salt), level.part);
 }
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/prompt_chain.h
+++ b/src/kvcache/prompt_chain.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "ports/dialect.h"
+#include "ports/platform_codec.h"
 
 #include <cstdint>
 #include <string>
--- a/src/kvcache/prompt_sources.cpp
+++ b/src/kvcache/prompt_sources.cpp
@@ -31,7 +31,7 @@
                              const placement_view& view) {
     const auto found = std::find_if(request.pool_members.begin(), request.pool_members.end(),
                                     [&](const auto* one) { return one->listed.id == id; });
-    const bool can_ask = found != request.pool_members.end() && fleet::is_listed(**found) &&
+    const bool can_ask = found != request.pool_members.end() && fleet::is_available(**found) &&
                          membership::usable((*found)->health, view.now);
     return can_ask ? *found : nullptr;
 }
--- a/src/kvcache/size_fairness_tests.cpp
+++ b/src/kvcache/size_fairness_tests.cpp
@@ -58,7 +58,7 @@
 };
 
 size_class draw_size(base::random_source& random) {
-    const double drawn = base::unit(random);
+    const double drawn = base::random_unit(random);
     return drawn < 0.7 ? ordinary : drawn < 0.9 ? middle : large;
 }
 
@@ -96,7 +96,7 @@
     const double between_ms =
         mean_tokens / tokens_a_ms / static_cast<double>(engine_count) / overload;
     for (int now = 0; now < span_ms; ++now) {
-        for (; next_ms <= now; next_ms += base::exponential(random, between_ms)) {
+        for (; next_ms <= now; next_ms += base::random_exponential(random, between_ms)) {
             arrive({draw_size(random), now, false}, now);
         }
         for (std::size_t at = 0; at < returning.size();) {
--- a/src/latency/first_byte_tests.cpp
+++ b/src/latency/first_byte_tests.cpp
@@ -31,9 +31,9 @@
 void show(latency::first_byte_model& model, const engine_kind& kind, double from_s, int count) {
     base::random_source random{5};
     for (int each = 0; each < count; ++each) {
-        const auto work = prompt_of(static_cast<double>(base::below(random, 20000)),
-                                    static_cast<double>(base::below(random, 8000)));
-        const double stall = base::below(random, 10) == 0 ? 3000.0 : 0.0;
+        const auto work = prompt_of(static_cast<double>(base::random_below(random, 20000)),
+                                    static_cast<double>(base::random_below(random, 8000)));
+        const double stall = base::random_below(random, 10) == 0 ? 3000.0 : 0.0;
         latency::note_first_byte(model, {work, kind.ms(work) + stall}, at(from_s + each * 0.1));
     }
 }
--- a/src/loading/loader.cpp
+++ b/src/loading/loader.cpp
@@ -59,7 +59,7 @@
 void give_back(loader& state, actions& out) {
     state.state = phase::giving_back;
     ports::transaction change;
-    change.expectations.push_back({state.slot, state.fence});
+    change.preconditions.push_back({state.slot, state.fence});
     change.writes.push_back({state.slot, "", true});
     out.push_back(commit_action{std::move(change)});
 }
@@ -84,7 +84,7 @@
     state.asked_at = at.now;
     state.until_ms = at.wall_ms + state.rules.longest_load.count();
     ports::transaction change;
-    change.expectations.push_back({slot, revision});
+    change.preconditions.push_back({slot, revision});
     change.writes.push_back({slot, to_text(state)});
     out.push_back(commit_action{std::move(change)});
 }
@@ -154,7 +154,7 @@
     return out;
 }
 
-actions on_committed(loader& state, const base::result<ports::committed>& answer,
+actions on_committed(loader& state, const base::result<ports::commit_result>& answer,
                      const moment& at) {
     actions out;
     const bool applied = answer.has_value() && answer.value().applied;
--- a/src/loading/loader.h
+++ b/src/loading/loader.h
@@ -73,7 +73,8 @@
                    const moment& at);
 actions on_tick(loader& state, const moment& at);
 actions on_read(loader& state, const base::result<ports::snapshot>& answer, const moment& at);
-actions on_committed(loader& state, const base::result<ports::committed>& answer, const moment& at);
+actions on_committed(loader& state, const base::result<ports::commit_result>& answer,
+                     const moment& at);
 
 inline constexpr const char* slots_prefix = "camphorrail/loading/";
 
--- a/src/loading/loader_tests.cpp
+++ b/src/loading/loader_tests.cpp
@@ -72,11 +72,11 @@
         this->events.push({this->now + delay, this->order++, std::move(action)});
     }
     base::micros between(base::micros low, base::micros high) {
-        return low + base::micros(static_cast<std::int64_t>(base::below(
+        return low + base::micros(static_cast<std::int64_t>(base::random_below(
                          this->random, static_cast<std::uint64_t>((high - low).count()))));
     }
     bool chance(int percent) {
-        return base::below(this->random, 100) < static_cast<unsigned>(percent);
+        return base::random_below(this->random, 100) < static_cast<unsigned>(percent);
     }
     loading::moment moment() const {
         return {this->now, wall_start + this->now.time_since_epoch().count() / 1000};
@@ -143,9 +143,9 @@
                     });
                 (void)read;
             } else if (const auto* commit = std::get_if<loading::commit_action>(&action)) {
-                this->call<ports::committed>(
+                this->call<ports::commit_result>(
                     number, [this, change = commit->change] { return this->apply(change); },
-                    [this, number](const base::result<ports::committed>& got) {
+                    [this, number](const base::result<ports::commit_result>& got) {
                         this->carry_out(number, loading::on_committed(this->agents[number].loader,
                                                                       got, this->moment()));
                     });
@@ -196,8 +196,8 @@
         return answer;
     }
 
-    ports::committed apply(const ports::transaction& change) {
-        for (const auto& expected : change.expectations) {
+    ports::commit_result apply(const ports::transaction& change) {
+        for (const auto& expected : change.preconditions) {
             const auto found = this->store.find(expected.key);
             const auto present = found == this->store.end() ? 0 : found->second.mod_revision;
             if (present != expected.mod_revision && !this->ignore_expectations) {
--- a/src/once/ledger.cpp
+++ b/src/once/ledger.cpp
@@ -107,7 +107,7 @@
 void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const moment& at,
                     actions& out) {
     for (const auto& attempt : entry.waiters) {
-        if (why.ran == base::ran::not_run) {
+        if (why.ran == base::execution_state::not_run) {
             state.tombstones[attempt] = at.now;
         }
         out.push_back(refuse_action{attempt, why.number, why.ran, why.retry_after});
@@ -128,7 +128,8 @@
             answer_waiters(entry, out);
         } else if (entry.phase == key_phase::unknown || entry.phase == key_phase::released) {
             refuse_waiters(state, entry,
-                           {base::code::once_outcome_unknown, base::ran::unknown, soon}, at, out);
+                           {base::code::once_outcome_unknown, base::execution_state::unknown, soon},
+                           at, out);
         }
     }
 }
@@ -139,7 +140,7 @@
             out.push_back(answer_action{attempt, entry.answer});
         } else {
             out.push_back(refuse_action{attempt, base::code::once_answer_not_kept,
-                                        base::ran::completed, base::milliseconds{0}});
+                                        base::execution_state::completed, base::milliseconds{0}});
         }
     }
     entry.waiters.clear();
--- a/src/once/ledger.h
+++ b/src/once/ledger.h
@@ -191,12 +191,12 @@
 struct refuse_action {
     base::attempt_id attempt;
     base::code number;
-    base::ran ran;
+    base::execution_state ran;
     base::milliseconds retry_after{0};
 };
 struct tombstoned_action {
     base::attempt_id attempt;
-    base::ran ran;
+    base::execution_state ran;
 };
 
 using action = std::variant<read_action, commit_action, run_action, answer_action, refuse_action,
@@ -212,14 +212,15 @@
 // The agent's lease was granted, or renewed by a call sent at `sent`.
 actions on_lease_kept(ledger& state, std::int64_t lease, base::instant sent, const moment& at);
 actions on_read(ledger& state, const base::result<ports::snapshot>& answer, const moment& at);
-actions on_committed(ledger& state, const base::result<ports::committed>& answer, const moment& at);
+actions on_committed(ledger& state, const base::result<ports::commit_result>& answer,
+                     const moment& at);
 actions on_order(ledger& state, const order& request, const moment& at);
 // The upstream's whole answer is there.
 actions on_ended(ledger& state, const base::idempotency_key& key, kept_answer answer,
                  const moment& at);
 // The call failed; `ran` is not_run only where it never left.
-actions on_failed(ledger& state, const base::idempotency_key& key, base::code number, base::ran ran,
-                  const moment& at);
+actions on_failed(ledger& state, const base::idempotency_key& key, base::code number,
+                  base::execution_state ran, const moment& at);
 // An entry calls an attempt off and wants the truth about it.
 actions on_tombstone(ledger& state, const base::attempt_id& attempt,
                      const base::idempotency_key& key, const moment& at);
@@ -245,7 +246,7 @@
 // What the attempts waiting for a key are told.
 struct refusal {
     base::code number;
-    base::ran ran;
+    base::execution_state ran;
     base::milliseconds retry_after{0};
 };
 // Refuses all attempts that wait for a key. One told "not run" can't run any more either, should
--- a/src/once/ledger_journal.cpp
+++ b/src/once/ledger_journal.cpp
@@ -156,7 +156,7 @@
             }
         }
         const std::string place = segment_key(state.pool, state.self, state.mine.life, number);
-        change.expectations.push_back({place, state.segment_revisions[number]});
+        change.preconditions.push_back({place, state.segment_revisions[number]});
         change.writes.push_back({place, to_text(records)});
         state.writing.insert(number);
     }
--- a/src/once/ledger_orders.cpp
+++ b/src/once/ledger_orders.cpp
@@ -10,7 +10,7 @@
 constexpr base::milliseconds soon{1000};
 constexpr base::micros tombstone_life = base::seconds(600);
 
-void refuse(actions& out, const order& request, base::code number, base::ran ran,
+void refuse(actions& out, const order& request, base::code number, base::execution_state ran,
             base::milliseconds retry_after = base::milliseconds{0}) {
     out.push_back(refuse_action{request.attempt, number, ran, retry_after});
 }
@@ -19,7 +19,7 @@
 void refuse_not_run(ledger& state, actions& out, const order& request, base::code number,
                     const moment& at) {
     state.tombstones[request.attempt] = at.now;
-    refuse(out, request, number, base::ran::not_run);
+    refuse(out, request, number, base::execution_state::not_run);
 }
 
 // An order for a key that this agent knows.
@@ -46,19 +46,19 @@
 bool decides(const ledger& state, const order& request, const moment& at, actions& out) {
     if (state.state != phase::active || (state.not_before && at.now < *state.not_before)) {
         // What earlier owners and lives ran is not read yet, so nothing can be ruled out.
-        refuse(out, request, base::code::once_handover, base::ran::unknown, soon);
+        refuse(out, request, base::code::once_handover, base::execution_state::unknown, soon);
         return false;
     }
     if (!owns(state.self, request.key, state.mine.owners)) {
-        refuse(out, request, base::code::once_not_owner, base::ran::unknown, soon);
+        refuse(out, request, base::code::once_not_owner, base::execution_state::unknown, soon);
         return false;
     }
     if (detail::blocked(state, request.key)) {
-        refuse(out, request, base::code::once_handover, base::ran::unknown, soon);
+        refuse(out, request, base::code::once_handover, base::execution_state::unknown, soon);
         return false;
     }
     if (detail::suspected(state, request.key)) {
-        refuse(out, request, base::code::once_outcome_unknown, base::ran::unknown);
+        refuse(out, request, base::code::once_outcome_unknown, base::execution_state::unknown);
         return false;
     }
     return true;
@@ -71,7 +71,7 @@
     // An order that comes after it was called off must not run: its entry has been told that it
     // won't. Whether an earlier copy of it ran before that is not said again here.
     if (state.tombstones.count(request.attempt) != 0) {
-        refuse(out, request, base::code::once_tombstoned, base::ran::unknown);
+        refuse(out, request, base::code::once_tombstoned, base::execution_state::unknown);
         return out;
     }
     const auto found = state.keys.find(request.key);
@@ -114,21 +114,23 @@
     return out;
 }
 
-actions on_failed(ledger& state, const base::idempotency_key& key, base::code number, base::ran ran,
-                  const moment& at) {
+actions on_failed(ledger& state, const base::idempotency_key& key, base::code number,
+                  base::execution_state ran, const moment& at) {
     actions out;
     const auto found = state.keys.find(key);
     if (found == state.keys.end()) {
         return out;
     }
     key_entry& entry = found->second;
-    if (ran == base::ran::not_run) {
+    if (ran == base::execution_state::not_run) {
         detail::release(state, key, entry);
-        detail::refuse_waiters(state, entry, {number, base::ran::not_run, soon}, at, out);
+        detail::refuse_waiters(state, entry, {number, base::execution_state::not_run, soon}, at,
+                               out);
     } else {
         entry.phase = key_phase::unknown;
         detail::refuse_waiters(
-            state, entry, {base::code::once_outcome_unknown, base::ran::unknown, soon}, at, out);
+            state, entry, {base::code::once_outcome_unknown, base::execution_state::unknown, soon},
+            at, out);
     }
     detail::advance(state, at, out);
     return out;
@@ -146,8 +148,8 @@
                              owns(state.self, key, state.mine.owners) &&
                              !detail::blocked(state, key) && !detail::suspected(state, key) &&
                              detail::ownership_certain(state, at.now);
-        out.push_back(
-            tombstoned_action{attempt, certain ? base::ran::not_run : base::ran::unknown});
+        out.push_back(tombstoned_action{attempt, certain ? base::execution_state::not_run
+                                                         : base::execution_state::unknown});
         return out;
     }
     key_entry& entry = found->second;
@@ -155,12 +157,12 @@
     if (entry.phase == key_phase::claiming && entry.waiters.empty()) {
         detail::release(state, key, entry);
         out.push_back(tombstoned_action{attempt, detail::ownership_certain(state, at.now)
-                                                     ? base::ran::not_run
-                                                     : base::ran::unknown});
+                                                     ? base::execution_state::not_run
+                                                     : base::execution_state::unknown});
     } else {
         const bool completed = entry.phase == key_phase::completed;
-        out.push_back(
-            tombstoned_action{attempt, completed ? base::ran::completed : base::ran::unknown});
+        out.push_back(tombstoned_action{attempt, completed ? base::execution_state::completed
+                                                           : base::execution_state::unknown});
     }
     detail::advance(state, at, out);
     return out;
@@ -199,8 +201,8 @@
         // answered by now, so the call would be work that nobody waits for: it must not leave.
         if (at.now >= entry.deadline) {
             release(state, key, entry);
-            refuse_waiters(state, entry, {base::code::timed_out, base::ran::not_run, soon}, at,
-                           out);
+            refuse_waiters(state, entry,
+                           {base::code::timed_out, base::execution_state::not_run, soon}, at, out);
             continue;
         }
         run(state, key, entry, out);
@@ -228,7 +230,8 @@
         release(state, key, entry);
         // This attempt has not run and won't. That the key has not run elsewhere is certain only
         // as long as nobody can have taken it over from us.
-        const auto ran = ownership_certain(state, at.now) ? base::ran::not_run : base::ran::unknown;
+        const auto ran = ownership_certain(state, at.now) ? base::execution_state::not_run
+                                                          : base::execution_state::unknown;
         refuse_waiters(state, entry, {base::code::once_cannot_record, ran, soon}, at, out);
     }
     std::erase_if(state.tombstones,
--- a/src/once/ledger_platform.cpp
+++ b/src/once/ledger_platform.cpp
@@ -111,7 +111,7 @@
 
 void start_journal(ledger& state, actions& out) {
     ports::transaction change;
-    change.expectations.push_back({owner_key(state.pool, state.self), state.fence});
+    change.preconditions.push_back({owner_key(state.pool, state.self), state.fence});
     detail::add_segments(state, change, state.rules.segments_a_commit);
     detail::add_expired(state, change);
     state.pending = operation::write_journal;
@@ -133,7 +133,7 @@
     const std::string place = owner_key(state.pool, state.self);
     const std::string alive = alive_key(state.pool, state.self);
     ports::transaction change;
-    change.expectations.push_back({place, state.fence});
+    change.preconditions.push_back({place, state.fence});
     change.writes.push_back({place, to_text(next)});
     change.writes.push_back({alive, state.nonce, closing, closing ? 0 : state.lease});
     if (state.has_record) {
@@ -153,8 +153,8 @@
     closed.clean = false;
     closed.closed_at_ms = at.wall_ms;
     ports::transaction change;
-    change.expectations.push_back({owner_key(state.pool, other), state.others_revision.at(other)});
-    change.expectations.push_back({alive_key(state.pool, other), 0});
+    change.preconditions.push_back({owner_key(state.pool, other), state.others_revision.at(other)});
+    change.preconditions.push_back({alive_key(state.pool, other), 0});
     change.writes.push_back({owner_key(state.pool, other), to_text(closed)});
     state.pending = operation::close_other;
     out.push_back(commit_action{std::move(change)});
@@ -231,7 +231,8 @@
             continue;
         }
         detail::release(state, key, entry);
-        detail::refuse_waiters(state, entry, {base::code::once_handover, base::ran::unknown, soon},
+        detail::refuse_waiters(state, entry,
+                               {base::code::once_handover, base::execution_state::unknown, soon},
                                at, out);
     }
 }
@@ -369,7 +370,7 @@
     return out;
 }
 
-actions on_committed(ledger& state, const base::result<ports::committed>& answer,
+actions on_committed(ledger& state, const base::result<ports::commit_result>& answer,
                      const moment& at) {
     actions out;
     const operation kind = state.pending;
--- a/src/once/ledger_tests.cpp
+++ b/src/once/ledger_tests.cpp
@@ -29,8 +29,8 @@
         return answer;
     }
 
-    ports::committed commit(const ports::transaction& change) {
-        for (const auto& expected : change.expectations) {
+    ports::commit_result commit(const ports::transaction& change) {
+        for (const auto& expected : change.preconditions) {
             const auto found = this->values.find(expected.key);
             const auto present = found == this->values.end() ? 0 : found->second.mod_revision;
             if (present != expected.mod_revision) {
@@ -99,7 +99,7 @@
             const auto& commit = std::get<once::commit_action>(call);
             this->take(once::on_committed(
                 this->ledger,
-                reached ? base::result<ports::committed>(this->store->commit(commit.change))
+                reached ? base::result<ports::commit_result>(this->store->commit(commit.change))
                         : base::code::platform_unreachable,
                 this->at));
         }
@@ -196,7 +196,7 @@
             second.order("2", "slot");
             second.settle();
             CHECK(second.ran.empty());
-            CHECK(second.refusals.at(0).ran == base::ran::unknown);
+            CHECK(second.refusals.at(0).ran == base::execution_state::unknown);
 
             // The first life was only paused. It wakes and has another order in hand; its writes
             // are fenced off, so nothing of it leaves any more.
@@ -258,7 +258,7 @@
         first.at.now += seconds(11);
         first.settle();
         CHECK(first.ran.empty());
-        CHECK(first.refusals.at(0).ran == base::ran::not_run);
+        CHECK(first.refusals.at(0).ran == base::execution_state::not_run);
     }
 
     // The entry gave up on a silent link and asks for the truth before the claim was written. It
@@ -266,7 +266,7 @@
     SECTION("can't run any more once it was said not to have run") {
         first.order("1", "slot");
         first.take(once::on_tombstone(first.ledger, {"1"}, {"slot"}, first.at));
-        CHECK(first.tombstoned.at(0).ran == base::ran::not_run);
+        CHECK(first.tombstoned.at(0).ran == base::execution_state::not_run);
         first.settle();
         first.order("1", "slot");
         first.settle();
@@ -292,7 +292,7 @@
     SECTION("and nobody but its owner runs it before") {
         b.order("1", key);
         CHECK(b.refusals.at(0).number == base::code::once_not_owner);
-        CHECK(b.refusals.at(0).ran == base::ran::unknown);
+        CHECK(b.refusals.at(0).ran == base::execution_state::unknown);
     }
 
     // The operators take a out. b hears of it first, a runs on by the old configuration. Both get
@@ -345,7 +345,7 @@
         a.order("2", key);
         a.pass(seconds(3), false);
         REQUIRE(a.refusals.size() == 1);
-        CHECK(a.refusals[0].ran == base::ran::unknown);
+        CHECK(a.refusals[0].ran == base::execution_state::unknown);
     }
 
     // a took itself for the owner and has an order whose claim is not written yet, when it learns
@@ -455,7 +455,7 @@
         first.pass(seconds(3), false);
         CHECK(first.ran.empty());
         CHECK(first.refusals.at(0).number == base::code::once_cannot_record);
-        CHECK(first.refusals.at(0).ran == base::ran::not_run);
+        CHECK(first.refusals.at(0).ran == base::execution_state::not_run);
     }
 
     SECTION("and a dated key runs, within the grace the operators allow") {
@@ -475,7 +475,7 @@
             second.order("2", fresh);
             second.settle();
             CHECK(second.ran.empty());
-            CHECK(second.refusals.at(0).ran == base::ran::unknown);
+            CHECK(second.refusals.at(0).ran == base::execution_state::unknown);
             second.order("3", dated(second.at.wall_ms));
             second.settle();
             CHECK(second.ran.size() == 1);
@@ -498,7 +498,7 @@
         first.settle(false);
         first.pass(seconds(3), false);
         CHECK(first.ran.empty());
-        CHECK(first.refusals.at(0).ran == base::ran::unknown);
+        CHECK(first.refusals.at(0).ran == base::execution_state::unknown);
     }
 }
 
@@ -511,7 +511,7 @@
     first.settle();
     first.take(once::close(first.ledger, first.at));
     first.order("2", key_of("a", placement_of({"a", "b"}), 1));
-    CHECK(first.refusals.at(0).ran == base::ran::unknown);
+    CHECK(first.refusals.at(0).ran == base::execution_state::unknown);
     first.pass(seconds(1));
     CHECK(first.ledger.state == once::phase::closing);
 
--- a/src/once/ownership.cpp
+++ b/src/once/ownership.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 std::uint64_t weight(const base::upstream_id& agent, std::uint64_t key) {
-    return base::mix(base::stable_hash(agent.value), key);
+    return base::combine_hashes(base::stable_hash(agent.value), key);
 }
 
 } // namespace
--- a/src/peering/messages.cpp
+++ b/src/peering/messages.cpp
@@ -16,21 +16,21 @@
     return {{read.at(0).get<std::string>()}, {read.at(1).get<std::int64_t>()}};
 }
 
-json to_json(const hello& message) {
-    return {"hello", message.from.value, message.zone.value, message.life};
+json to_json(const handshake& message) {
+    return {"hello", message.from.value, message.zone.value, message.incarnation};
 }
 
 json to_json(const suspicion& message) {
-    return {"suspicion", to_json(message.upstream), message.span.count(), message.why,
-            message.changing};
+    return {"suspicion", to_json(message.upstream), message.duration.count(), message.reason,
+            message.changing_weights};
 }
 
-json to_json(const weights_held& message) {
+json to_json(const loaded_weights& message) {
     return {"weights", to_json(message.upstream), message.model.value, message.version};
 }
 
-json to_json(const store_ask& message) {
-    return {"ask", message.number, message.revision};
+json to_json(const store_query& message) {
+    return {"ask", message.query_id, message.revision};
 }
 
 json changes_to_json(const ports::changes& changes) {
@@ -61,31 +61,32 @@
     return read.is_null() ? std::nullopt : std::optional(base::micros(read.get<std::int64_t>()));
 }
 
-json to_json(const weights_named& named) {
+json to_json(const target_weights& named) {
     return {named.model.value, named.version, to_json(named.age)};
 }
 
-weights_named read_weights_named(const json& read) {
+target_weights read_weights_named(const json& read) {
     return {{read.at(0).get<std::string>()}, read.at(1).get<std::int64_t>(), read_age(read.at(2))};
 }
 
 json to_json(const store_view& message) {
     json named = json::array();
-    for (const auto& each : message.named) {
+    for (const auto& each : message.targets) {
         named.push_back(to_json(each));
     }
     return {"view",
-            message.number,
-            message.proved,
+            message.query_id,
+            message.confirmed,
             message.age.count(),
-            to_json(message.whole_age),
-            message.whole,
+            to_json(message.complete_age),
+            message.complete,
             changes_to_json(message.changes),
             named};
 }
 
 json to_json(const store_changes& message) {
-    return {"changes", message.after, message.large, changes_to_json(message.changes)};
+    return {"changes", message.base_revision, message.omitted_keys,
+            changes_to_json(message.changes)};
 }
 
 json to_json(const latency::first_byte_sample& sample) {
@@ -107,13 +108,13 @@
 }
 
 json to_json(const upstream_load& item) {
-    return {to_json(item.upstream), item.work.in_flight,    item.work.unread_tokens,
-            item.work.held_tokens,  item.work.unrepeatable, item.work.short_prompts,
-            item.heard_ago.count()};
+    return {to_json(item.upstream),    item.work.in_flight,    item.work.unread_tokens,
+            item.work.held_tokens,     item.work.unrepeatable, item.work.short_prompts,
+            item.last_byte_age.count()};
 }
 
 json to_json(const store_transfer& transfer) {
-    return {transfer.store, transfer.ms};
+    return {transfer.store, transfer.duration_ms};
 }
 
 json to_json(const quarantine::request_identity& request) {
@@ -121,7 +122,7 @@
 }
 
 json to_json(const crash_victim& victim) {
-    return {to_json(victim.request), victim.sent_ago.count(), victim.begun_ago.count()};
+    return {to_json(victim.request), victim.sent_ago.count(), victim.response_started_ago.count()};
 }
 
 json to_json(const quota::usage_count& count) {
@@ -140,21 +141,21 @@
 }
 
 json to_json(const entry_load& load) {
-    return {load.from.value,     load.age.count(),    load.period.count(),
-            load.whole,          list_of(load.items), list_of(load.transfers),
+    return {load.from.value,     load.age.count(),    load.report_interval.count(),
+            load.complete,       list_of(load.items), list_of(load.transfers),
             list_of(load.reads), load.uptime.count(), list_of(load.usage)};
 }
 
 json to_json(const load_report& message) {
-    return {"load", list_of(message.all)};
+    return {"load", list_of(message.loads)};
 }
 
-json to_json(const kept_parts& message) {
+json to_json(const kv_store_contents& message) {
     json parts = json::array();
     for (const auto& each : message.parts) {
         parts.push_back({each.part, each.tokens});
     }
-    return {"kept", message.store, message.whole, message.down, parts};
+    return {"kept", message.store, message.complete, message.unreachable, parts};
 }
 
 quarantine::request_identity read_identity(const json& read) {
@@ -165,11 +166,11 @@
     return {"crash", to_json(message.upstream), message.age.count(), list_of(message.victims)};
 }
 
-json to_json(const hold_report& message) {
-    return {"hold", to_json(message.request), message.left.count()};
+json to_json(const quarantine_notice& message) {
+    return {"hold", to_json(message.request), message.remaining.count()};
 }
 
-json to_json(const upstream_leaving& message) {
+json to_json(const upstream_draining& message) {
     return {"leaving", to_json(message.upstream), message.age.count()};
 }
 
@@ -201,11 +202,11 @@
     return one;
 }
 
-kept_parts read_kept(const json& read) {
-    kept_parts kept;
+kv_store_contents read_kept(const json& read) {
+    kv_store_contents kept;
     kept.store = read.at(1).get<std::string>();
-    kept.whole = read.at(2).get<bool>();
-    kept.down = read.at(3).get<bool>();
+    kept.complete = read.at(2).get<bool>();
+    kept.unreachable = read.at(3).get<bool>();
     for (const auto& each : read.at(4)) {
         kept.parts.push_back({each.at(0).get<std::uint64_t>(), each.at(1).get<std::int64_t>()});
     }
@@ -214,14 +215,14 @@
 
 store_view read_view(const json& read) {
     store_view view;
-    view.number = read.at(1).get<std::int64_t>();
-    view.proved = read.at(2).get<bool>();
+    view.query_id = read.at(1).get<std::int64_t>();
+    view.confirmed = read.at(2).get<bool>();
     view.age = base::micros(read.at(3).get<std::int64_t>());
-    view.whole_age = read_age(read.at(4));
-    view.whole = read.at(5).get<bool>();
+    view.complete_age = read_age(read.at(4));
+    view.complete = read.at(5).get<bool>();
     view.changes = read_changes(read.at(6));
     for (const auto& each : read.at(7)) {
-        view.named.push_back(read_weights_named(each));
+        view.targets.push_back(read_weights_named(each));
     }
     return view;
 }
@@ -245,8 +246,8 @@
     entry_load load;
     load.from = {read.at(0).get<std::string>()};
     load.age = base::milliseconds(read.at(1).get<std::int64_t>());
-    load.period = base::milliseconds(read.at(2).get<std::int64_t>());
-    load.whole = read.at(3).get<bool>();
+    load.report_interval = base::milliseconds(read.at(2).get<std::int64_t>());
+    load.complete = read.at(3).get<bool>();
     for (const auto& item : read.at(4)) {
         load.items.push_back(read_load_item(item));
     }
@@ -266,7 +267,7 @@
 load_report read_load(const json& read) {
     load_report load;
     for (const auto& each : read.at(1)) {
-        load.all.push_back(read_told_load(each));
+        load.loads.push_back(read_told_load(each));
     }
     return load;
 }
@@ -274,9 +275,9 @@
 message read_message(const json& read) {
     const std::string kind = read.at(0).get<std::string>();
     if (kind == "hello") {
-        return hello{{read.at(1).get<std::string>()},
-                     {read.at(2).get<std::string>()},
-                     read.at(3).get<std::int64_t>()};
+        return handshake{{read.at(1).get<std::string>()},
+                         {read.at(2).get<std::string>()},
+                         read.at(3).get<std::int64_t>()};
     }
     if (kind == "suspicion") {
         return suspicion{read_instance(read.at(1)),
@@ -284,15 +285,15 @@
                          read.at(3).get<std::string>(), read.at(4).get<bool>()};
     }
     if (kind == "weights") {
-        return weights_held{read_instance(read.at(1)),
-                            {read.at(2).get<std::string>()},
-                            read.at(3).get<std::int64_t>()};
+        return loaded_weights{read_instance(read.at(1)),
+                              {read.at(2).get<std::string>()},
+                              read.at(3).get<std::int64_t>()};
     }
     if (kind == "load") {
         return read_load(read);
     }
     if (kind == "ask") {
-        return store_ask{read.at(1).get<std::int64_t>(), read.at(2).get<std::int64_t>()};
+        return store_query{read.at(1).get<std::int64_t>(), read.at(2).get<std::int64_t>()};
     }
     if (kind == "view") {
         return read_view(read);
@@ -308,12 +309,12 @@
         return read_crash(read);
     }
     if (kind == "hold") {
-        return hold_report{read_identity(read.at(1)),
-                           base::milliseconds(read.at(2).get<std::int64_t>())};
+        return quarantine_notice{read_identity(read.at(1)),
+                                 base::milliseconds(read.at(2).get<std::int64_t>())};
     }
     if (kind == "leaving") {
-        return upstream_leaving{read_instance(read.at(1)),
-                                base::micros(read.at(2).get<std::int64_t>())};
+        return upstream_draining{read_instance(read.at(1)),
+                                 base::micros(read.at(2).get<std::int64_t>())};
     }
     throw std::invalid_argument("no such message");
 }
@@ -333,8 +334,8 @@
     quarantine::crash_report report{told.upstream, written - told.age, {}};
     for (const auto& each : told.victims) {
         quarantine::crash_victim victim{each.request, written - each.sent_ago, {}};
-        if (each.begun_ago >= base::micros(0)) {
-            victim.begun_at = written - each.begun_ago;
+        if (each.response_started_ago >= base::micros(0)) {
+            victim.begun_at = written - each.response_started_ago;
         }
         report.victims.push_back(std::move(victim));
     }
@@ -342,7 +343,7 @@
 }
 
 std::string encode(const frame& sent) {
-    const json told = std::visit([](const auto& each) { return to_json(each); }, sent.told);
+    const json told = std::visit([](const auto& each) { return to_json(each); }, sent.payload);
     const json written = {sent.uptime.count(), told};
     std::string bytes;
     json::to_cbor(written, nlohmann::detail::output_adapter<char>(bytes));
--- a/src/peering/messages_tests.cpp
+++ b/src/peering/messages_tests.cpp
@@ -14,33 +14,33 @@
                                    {{{"desk-8b"}, 4, base::micros(70)}, {{"desk-8b"}, 5, {}}}};
     const auto read = peering::decode(peering::encode({view}));
     REQUIRE(read.has_value());
-    const auto& got = std::get<peering::store_view>(read.value().told);
-    CHECK(got.number == 7);
-    CHECK(got.proved);
+    const auto& got = std::get<peering::store_view>(read.value().payload);
+    CHECK(got.query_id == 7);
+    CHECK(got.confirmed);
     CHECK(got.age == base::micros(1500));
-    CHECK(got.whole_age == base::micros(2500));
-    CHECK(got.whole);
+    CHECK(got.complete_age == base::micros(2500));
+    CHECK(got.complete);
     CHECK(got.changes.revision == 42);
-    REQUIRE(got.named.size() == 2);
-    CHECK(got.named[0].model.value == "desk-8b");
-    CHECK(got.named[0].version == 4);
-    CHECK(got.named[0].age == base::micros(70));
-    CHECK_FALSE(got.named[1].age);
+    REQUIRE(got.targets.size() == 2);
+    CHECK(got.targets[0].model.value == "desk-8b");
+    CHECK(got.targets[0].version == 4);
+    CHECK(got.targets[0].age == base::micros(70));
+    CHECK_FALSE(got.targets[1].age);
     REQUIRE(got.changes.items.size() == 1);
     CHECK(got.changes.items[0].item.value == view.changes.items[0].item.value);
 
     peering::entry_load told;
     told.from = {"entry-3"};
     told.age = base::milliseconds(70);
-    told.whole = true;
+    told.complete = true;
     told.items = {{{{"e1"}, {17}}, {2, 900, 1900, 1}, base::milliseconds(40)}};
     told.uptime = base::milliseconds(12'000);
     told.usage = {{{"north"}, 4, base::micros(1500), {9230}, {18460}}};
     const auto load = peering::decode(peering::encode({peering::load_report{{{}, told}}}));
-    const auto& relayed = std::get<peering::load_report>(load.value().told).all.at(1);
+    const auto& relayed = std::get<peering::load_report>(load.value().payload).loads.at(1);
     CHECK(relayed.from.value == "entry-3");
     CHECK(relayed.age == base::milliseconds(70));
-    CHECK(relayed.whole);
+    CHECK(relayed.complete);
     CHECK(relayed.uptime == base::seconds(12));
     CHECK(relayed.usage.at(0).team.value == "north");
     CHECK(relayed.usage.at(0).number == 4);
@@ -52,8 +52,8 @@
     CHECK(relayed.items.at(0).work.unrepeatable == 1);
     const auto suspicion = peering::decode(peering::encode(
         {peering::suspicion{{{"e1"}, {17}}, base::milliseconds(250), "silent", true}}));
-    CHECK(std::get<peering::suspicion>(suspicion.value().told).why == "silent");
-    CHECK(std::get<peering::suspicion>(suspicion.value().told).changing);
+    CHECK(std::get<peering::suspicion>(suspicion.value().payload).reason == "silent");
+    CHECK(std::get<peering::suspicion>(suspicion.value().payload).changing_weights);
 }
 
 TEST_CASE("bytes that are no message are refused", "[proxy]") {
@@ -66,13 +66,13 @@
 
 TEST_CASE("what entries tell of the store's changes survives the way", "[proxy]") {
     peering::store_changes told;
-    told.after = 41;
-    told.large = {"a"};
+    told.base_revision = 41;
+    told.omitted_keys = {"a"};
     told.changes = {43, {{{"a", "\xff", 42}, false}, {{"b", "", 43}, true}}};
     const auto read = peering::decode(peering::encode({told}));
-    const auto& got = std::get<peering::store_changes>(read.value().told);
-    CHECK(got.after == 41);
-    CHECK(got.large == told.large);
+    const auto& got = std::get<peering::store_changes>(read.value().payload);
+    CHECK(got.base_revision == 41);
+    CHECK(got.omitted_keys == told.omitted_keys);
     CHECK(got.changes.revision == 43);
     REQUIRE(got.changes.items.size() == 2);
     CHECK(got.changes.items[0].item.value == "\xff");
@@ -89,7 +89,8 @@
     peering::entry_load load;
     load.reads = {told};
     const auto reads = peering::decode(peering::encode({peering::load_report{{load}}}));
-    const auto& read = std::get<peering::load_report>(reads.value().told).all.at(0).reads.at(0);
+    const auto& read =
+        std::get<peering::load_report>(reads.value().payload).loads.at(0).reads.at(0);
     CHECK(read.levels.at(1).key == ~0ULL);
     CHECK(read.levels.at(1).tokens == 3780);
     CHECK(read.shown.work.to_read == 2890.0);
@@ -97,20 +98,20 @@
     CHECK(read.by.id.value == "e1");
     CHECK(read.saved);
     const auto kept = peering::decode(
-        peering::encode({peering::kept_parts{"10.9.9.9:1", true, false, {{~0ULL, 2520}}}}));
-    const auto& view = std::get<peering::kept_parts>(kept.value().told);
-    CHECK(view.whole);
+        peering::encode({peering::kv_store_contents{"10.9.9.9:1", true, false, {{~0ULL, 2520}}}}));
+    const auto& view = std::get<peering::kv_store_contents>(kept.value().payload);
+    CHECK(view.complete);
     CHECK(view.parts.at(0).part == ~0ULL);
     CHECK(view.parts.at(0).tokens == 2520);
 }
 
 TEST_CASE("frames bear how long their sender had been running", "[proxy]") {
-    const auto read = peering::decode(
-        peering::encode({peering::hello{{"entry-3"}, {"a"}, 1'700'000'000'000}, base::seconds(7)}));
+    const auto read = peering::decode(peering::encode(
+        {peering::handshake{{"entry-3"}, {"a"}, 1'700'000'000'000}, base::seconds(7)}));
     REQUIRE(read.has_value());
     CHECK(read.value().uptime == base::seconds(7));
-    const auto& first = std::get<peering::hello>(read.value().told);
+    const auto& first = std::get<peering::handshake>(read.value().payload);
     CHECK(first.from.value == "entry-3");
     CHECK(first.zone.value == "a");
-    CHECK(first.life == 1'700'000'000'000);
+    CHECK(first.incarnation == 1'700'000'000'000);
 }
--- a/src/ports/dialect.h
+++ b/src/ports/platform_codec.h
@@ -22,25 +22,25 @@
 };
 
 // What a caller's request says of itself.
-struct caller_request {
+struct client_request {
     std::string request_id;
     // The bearer key; empty where there is none.
-    std::string key;
+    std::string bearer_key;
     // How long the caller waits, from when it sent the request.
     std::optional<base::milliseconds> deadline;
     base::model_id model;
     // Tokens of the prompt and of the longest answer together; nothing where it does not say.
-    std::optional<std::int64_t> tokens;
+    std::optional<std::int64_t> max_total_tokens;
     // The prompt's parts in order; the last belongs to this request or its session.
-    std::vector<prompt_part> parts;
+    std::vector<prompt_part> prompt_parts;
     // The last event that the caller has seen of a stream that broke off; empty for a new stream.
-    std::string last_event;
+    std::string last_event_id;
 };
 
 // What we tell an upstream about one attempt.
-struct attempt_terms {
+struct attempt_parameters {
     // The upstream's start that the request is meant for; another refuses it unrun.
-    base::upstream_id instance;
+    base::upstream_id expected_instance;
     base::team_id team;
     base::milliseconds time_left{0};
     // 0 is first.
@@ -51,8 +51,8 @@
     std::string fetch_from;
     std::string save_to;
     // Weights that the request must run on; 0 for any.
-    std::int64_t weights = 0;
-    std::string last_event;
+    std::int64_t required_weights = 0;
+    std::string last_event_id;
 };
 
 // How busy an upstream says it is.
@@ -63,16 +63,16 @@
 };
 
 // What an upstream's answer says beside its body.
-struct answer_facts {
+struct response_metadata {
     std::string request_id;
     // The upstream states that it has not run the request and never will.
     bool not_run = false;
     // The address belongs to another upstream now.
     bool wrong_instance = false;
     std::optional<reported_load> load;
-    std::optional<std::int64_t> weights;
+    std::optional<std::int64_t> weights_version;
     // The upstream says that it leaves. Of another instance it says nothing of the one meant.
-    bool leaving = false;
+    bool draining = false;
     // It has turned the request away and wants nothing more from us for so long.
     std::optional<base::milliseconds> pause;
     // How long the upstream keeps an idle connection, if it says so.
@@ -87,37 +87,37 @@
     std::string address;
     base::availability_zone zone;
     std::int64_t slots = 0;
-    bool leaving = false;
+    bool draining = false;
     // Models that it holds, with the version of their weights.
     std::vector<std::pair<base::model_id, std::int64_t>> models;
 };
 
 // Weights that the operators want in use.
-struct named_weights {
+struct target_weights {
     base::model_id model;
     std::int64_t version = 0;
 };
 
 // What becomes of the requests that an upstream is running when it is to load weights.
-enum class running_requests {
+enum class in_flight_policy {
     // They end on the old weights first, while it takes nothing new.
     finish,
     // It cuts them off.
-    cut,
+    abort,
     // The rest of each is made by the new weights.
-    go_on,
+    continue_on_new_weights,
 };
 
 // An order to load weights.
-struct load_order {
+struct load_command {
     base::model_id model;
     std::int64_t version = 0;
     std::string holder;
     // Rises with every change of the holder.
-    std::int64_t fence = 0;
+    std::int64_t fencing_token = 0;
     // The order is void where the upstream has accepted another number of orders before.
-    std::int64_t expected_orders = 0;
-    running_requests running = running_requests::finish;
+    std::int64_t expected_accepted_commands = 0;
+    in_flight_policy in_flight = in_flight_policy::finish;
 };
 
 // What an upstream says of itself when asked.
@@ -125,9 +125,9 @@
     base::upstream_incarnation incarnation;
     std::vector<std::pair<base::model_id, std::int64_t>> models;
     // Orders that it has accepted since its start.
-    std::int64_t orders = 0;
+    std::int64_t accepted_commands = 0;
     // An order is being carried out.
-    bool busy = false;
+    bool loading = false;
 };
 
 // A part of a prompt that a cache holds now, with how many of its tokens; 0 for no more.
@@ -138,21 +138,21 @@
 };
 
 // What a cache says of itself: all that it holds, or what has changed since it was last asked.
-struct cache_news {
+struct cache_update {
     // Another number means that the cache was lost in between.
     std::int64_t incarnation = 0;
     // Where the next question goes on.
-    std::int64_t next = 0;
+    std::int64_t next_sequence = 0;
     // Some of the changes are lost.
-    bool gap = false;
+    bool has_gap = false;
     std::vector<cached_part> parts;
 };
 
 // How an order was met.
-enum class order_outcome { accepted, already_done, conflict, refused, wrong_instance };
+enum class load_command_result { accepted, already_done, conflict, refused, wrong_instance };
 
 // A call to an upstream that is not a caller's request.
-struct control_call {
+struct control_request {
     std::string method;
     std::string path;
     http::fields fields;
@@ -161,38 +161,40 @@
 
 // How one platform spells what the product knows: names of keys, fields and documents. Nothing here
 // decides anything.
-struct dialect {
+struct platform_codec {
     std::string operators_config_key;
-    std::string named_weights_prefix;
+    std::string target_weights_prefix;
     std::string upstreams_prefix;
     // Below this prefix the system may write.
     std::string own_prefix;
 
-    std::function<base::result<routes::operators_config>(const std::string&)> read_config;
-    std::function<base::result<named_weights>(const std::string&)> read_named_weights;
+    std::function<base::result<routes::operators_config>(const std::string&)> parse_config;
+    std::function<base::result<target_weights>(const std::string&)> parse_target_weights;
     // The key ends in the upstream's id.
     std::function<base::result<listed_upstream>(const std::string& key, const std::string& value)>
-        read_upstream;
+        parse_upstream;
 
-    std::function<base::result<caller_request>(const http::request_head&)> read_request;
-    std::function<http::fields(const http::request_head&, const attempt_terms&)> attempt_fields;
-    std::function<answer_facts(const http::response_head&)> read_answer;
+    std::function<base::result<client_request>(const http::request_head&)> parse_request;
+    std::function<http::fields(const http::request_head&, const attempt_parameters&)>
+        make_attempt_fields;
+    std::function<response_metadata(const http::response_head&)> parse_response;
     // The fields of an answer of our own; no hint where `retry_after` is 0.
     std::function<http::fields(const std::string& request_id, base::milliseconds retry_after)>
-        refusal_fields;
+        make_refusal_fields;
 
-    control_call state_call;
-    std::function<base::result<upstream_state>(const std::string&)> read_state;
-    std::function<control_call(const load_order&, const base::upstream_id&)> order_call;
-    std::function<order_outcome(int status)> read_order_answer;
+    control_request state_request;
+    std::function<base::result<upstream_state>(const std::string&)> parse_state;
+    std::function<control_request(const load_command&, const base::upstream_id&)> make_load_request;
+    std::function<load_command_result(int status)> parse_load_response;
 
     // Asks a cache for what has changed since `since`; it answers at once when there is something,
     // else within `wait`.
-    std::function<control_call(std::int64_t since, base::milliseconds wait)> cache_changes_call;
-    std::function<base::result<cache_news>(const std::string&)> read_cache_changes;
+    std::function<control_request(std::int64_t since, base::milliseconds wait)>
+        make_cache_changes_request;
+    std::function<base::result<cache_update>(const std::string&)> parse_cache_changes;
     // Asks it for all that it holds. This holds up the cache's other work for a moment.
-    control_call cache_listing_call;
-    std::function<base::result<cache_news>(const std::string&)> read_cache_listing;
+    control_request cache_listing_request;
+    std::function<base::result<cache_update>(const std::string&)> parse_cache_listing;
 };
 
 } // namespace camphorrail::ports
--- a/src/ports/upstream.h
+++ b/src/ports/upstream.h
@@ -20,7 +20,7 @@
 };
 
 // How an upstream's answer arrives. After `failed` or `ended` nothing more comes.
-struct answer_handler {
+struct response_handler {
     std::function<void(int status, std::string content_type)> started;
     std::function<void(std::string bytes)> received;
     // The answer's framing ended as HTTP says it must.
@@ -38,7 +38,7 @@
 
 // The back end beside an agent.
 struct upstream {
-    std::function<call_handle(upstream_call, answer_handler)> send;
+    std::function<call_handle(upstream_call, response_handler)> send;
 };
 
 } // namespace camphorrail::ports
--- a/src/prefix/prefix_chain.cpp
+++ b/src/prefix/prefix_chain.cpp
@@ -13,8 +13,8 @@
 
 std::uint64_t scope_key(const cache_scope& scope) {
     std::uint64_t key = base::stable_hash(scope.team.value);
-    key = base::mix(key, base::stable_hash(scope.model.value));
-    return base::mix(key, base::stable_hash(scope.weights));
+    key = base::combine_hashes(key, base::stable_hash(scope.model.value));
+    return base::combine_hashes(key, base::stable_hash(scope.weights));
 }
 
 std::vector<std::string_view> split(const std::vector<std::string>& parts) {
@@ -37,7 +37,7 @@
     std::uint64_t key = scope_key(scope);
     std::int64_t bytes = 0;
     for (const std::string_view piece : split(parts)) {
-        key = base::mix(key, base::stable_hash(piece));
+        key = base::combine_hashes(key, base::stable_hash(piece));
         bytes += static_cast<std::int64_t>(piece.size());
         const prefix_level level{key, {bytes / bytes_a_token}};
         if (chain.size() < max_levels) {
--- a/src/process/config_keeper_tests.cpp
+++ b/src/process/config_keeper_tests.cpp
@@ -34,7 +34,7 @@
         base::random_source random{7};
         std::int64_t highest = 0;
         for (int word = 0; word < 300; ++word) {
-            const auto version = static_cast<std::int64_t>(1 + base::below(random, 100));
+            const auto version = static_cast<std::int64_t>(1 + base::random_below(random, 100));
             const bool taken =
                 keeper.offer({version}, document_with("p" + std::to_string(version)));
             CHECK(taken == (version > highest));
--- a/src/process/problem.h
+++ b/src/process/problem.h
@@ -12,7 +12,7 @@
 // whether the request ran.
 struct problem {
     base::code number;
-    base::ran ran = base::ran::not_run;
+    base::execution_state ran = base::execution_state::not_run;
     // When to come back; 0 for no hint.
     base::milliseconds retry_after{0};
     std::string detail;
--- a/src/proxy/admission.cpp
+++ b/src/proxy/admission.cpp
@@ -5,7 +5,7 @@
 namespace camphorrail::proxy {
 
 base::result<admitted> admit(const admission_view& view, const http::request_head& head,
-                             const ports::caller_request& facts) {
+                             const ports::client_request& facts) {
     if (view.config == nullptr || !view.config_age || *view.config_age > view.longest_age) {
         return base::code::not_ready;
     }
@@ -17,7 +17,7 @@
     if (route->open_to_all || view.config->teams.empty()) {
         return admitted{view.config, route, nullptr};
     }
-    const auto* team = routes::find_team(*view.config, facts.key);
+    const auto* team = routes::find_team(*view.config, facts.bearer_key);
     if (team == nullptr) {
         return base::code::key_missing_or_wrong;
     }
--- a/src/proxy/admission.h
+++ b/src/proxy/admission.h
@@ -2,7 +2,7 @@
 
 #include "base/codes.h"
 #include "base/result.h"
-#include "ports/dialect.h"
+#include "ports/platform_codec.h"
 #include "routes/operators_config.h"
 
 #include <memory>
@@ -31,7 +31,7 @@
 
 // Finds the request's route and team, or the code to refuse it with.
 base::result<admitted> admit(const admission_view& view, const http::request_head& head,
-                             const ports::caller_request& facts);
+                             const ports::client_request& facts);
 
 // Whether an attempt may be made again at another upstream after one that may have run.
 bool may_repeat(const routes::route& route);
--- a/src/proxy/admission_tests.cpp
+++ b/src/proxy/admission_tests.cpp
@@ -31,7 +31,8 @@
 TEST_CASE("a request is admitted by the configuration in force", "[proxy]") {
     const proxy::admission_view view{sample(), base::seconds(1), base::milliseconds(4600)};
     const auto code = [&](const std::string& target, const std::string& key) {
-        const auto admitted = proxy::admit(view, request(target), {.request_id = "1", .key = key});
+        const auto admitted =
+            proxy::admit(view, request(target), {.request_id = "1", .bearer_key = key});
         return admitted.has_value() ? 0 : static_cast<int>(base::to_code(admitted.error()));
     };
     CHECK(code("/tag/x", "k1") == 0);
@@ -43,7 +44,8 @@
     SECTION("at its team's rank, or else at its route's") {
         const auto rank = [&](const std::string& key) {
             return proxy::rank_of(
-                proxy::admit(view, request("/tag/x"), {.request_id = "1", .key = key}).value());
+                proxy::admit(view, request("/tag/x"), {.request_id = "1", .bearer_key = key})
+                    .value());
         };
         CHECK(rank("k1") == 2);
         CHECK(rank("k2") == 4);
@@ -55,7 +57,7 @@
 // is told that nothing has run, and reaches another entry.
 TEST_CASE("nothing is served on a configuration that was not proved lately", "[proxy]") {
     proxy::admission_view view{sample(), base::milliseconds(4601), base::milliseconds(4600)};
-    const ports::caller_request facts{.request_id = "1", .key = "k1"};
+    const ports::client_request facts{.request_id = "1", .bearer_key = "k1"};
     CHECK(proxy::admit(view, request("/tag/x"), facts).error() == base::code::not_ready);
     // Not even with an answer that would be final for the caller.
     CHECK(proxy::admit(view, request("/none/"), facts).error() == base::code::not_ready);
--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -8,16 +8,16 @@
     return found == state.weights.end() ? none : found->second;
 }
 
-bool is_fresh(const entry_context& context) {
+bool is_config_fresh(const entry_context& context) {
     const auto age = mirror::age(context.state.store, context.now());
-    return context.state.config != nullptr && age && *age <= longest_config_age(context.settings);
+    return context.state.config != nullptr && age && *age <= max_config_age(context.settings);
 }
 
 base::micros logged_config_age(const entry_context& context) {
     return mirror::age(context.state.store, context.now()).value_or(base::micros(-1));
 }
 
-base::micros longest_config_age(const settings::proxy_settings& settings) {
+base::micros max_config_age(const settings::proxy_settings& settings) {
     // A request's way to the upstream, and the time a loaded machine takes for one turn of its
     // loop.
     constexpr base::milliseconds margin{400};
@@ -28,11 +28,11 @@
     quota::quota_rules rules;
     rules.allowed = {settings.bounds.quota_window, settings.bounds.quota_excess,
                      settings.bounds.quota_slack};
-    rules.longest_unlisted = longest_config_age(settings);
+    rules.longest_unlisted = max_config_age(settings);
     return rules;
 }
 
-base::micros longest_outdated(const settings::proxy_settings& settings) {
+base::micros max_outdated_weights_age(const settings::proxy_settings& settings) {
     // The way to the upstream, and the longest turn of a loaded VM's loop, before which a request
     // may not leave. When weights were named is never taken for later than it was.
     constexpr base::milliseconds margin{1000};
@@ -49,11 +49,12 @@
     // A crashed engine is back in some seconds; a longer absence than this would cost more than the
     // one call that finds it still down.
     rules.health.longest_ejection = base::seconds(4);
-    rules.missing_grace = settings.bounds.drain * 7 / 10;
+    rules.unlisted_grace = settings.bounds.drain * 7 / 10;
     return rules;
 }
 
-std::int64_t engine_room(const entry_state& state, const base::upstream_instance& upstream) {
+std::int64_t engine_capacity_tokens(const entry_state& state,
+                                    const base::upstream_instance& upstream) {
     const auto found = state.fleet.members.find(upstream.id);
     if (found == state.fleet.members.end() || state.config == nullptr) {
         return 0;
@@ -62,20 +63,21 @@
     return pool == state.config->pools.end() ? 0 : pool->second.engine_tokens;
 }
 
-void note_prompt_read(entry_context& context, const kvcache::prompt_read& read) {
+void record_prompt_read(entry_context& context, const kvcache::prompt_read& read) {
     const auto* one = fleet::find_instance(context.state.fleet, read.by);
     if (one == nullptr) {
         return;
     }
     const base::instant now = context.now();
-    kvcache::note_read(context.state.cache, read, engine_room(context.state, read.by), now);
+    kvcache::note_read(context.state.cache, read, engine_capacity_tokens(context.state, read.by),
+                       now);
     if (read.shown.ms > 0.0) {
         latency::note_first_byte(context.state.latency[one->listed.pool], read.shown, now);
     }
 }
 
-void note_weights(entry_context& context, const base::upstream_instance& upstream,
-                  const base::model_id& model, std::int64_t version) {
+void record_weights(entry_context& context, const base::upstream_instance& upstream,
+                    const base::model_id& model, std::int64_t version) {
     auto* one = fleet::find_instance(context.state.fleet, upstream);
     if (one == nullptr) {
         return;
@@ -92,10 +94,10 @@
     }
 }
 
-void forget_earlier_life(entry_context& context, const base::upstream_instance& now_in) {
+void discard_previous_incarnation(entry_context& context, const base::upstream_instance& now_in) {
     context.connections.forget(now_in.id);
     kvcache::forget_reader(context.state.cache, now_in.id);
-    std::erase_if(context.state.untold_reads,
+    std::erase_if(context.state.unreported_reads,
                   [&](const auto& read) { return read.by.id == now_in.id; });
     context.log.line(adapters::importance::keep, "upstream_restarted")
         .text("upstream", now_in.id.value)
@@ -103,9 +105,9 @@
     context.metrics.count("camphorrail_upstream_restarts_total");
 }
 
-bool note_says_leaving(entry_context& context, const base::upstream_instance& upstream,
-                       const std::string& told_by, base::instant said_at) {
-    if (!fleet::note_says_leaving(context.state.fleet, upstream, said_at)) {
+bool record_drain_report(entry_context& context, const base::upstream_instance& upstream,
+                         const std::string& told_by, base::instant said_at) {
+    if (!fleet::record_drain_report(context.state.fleet, upstream, said_at)) {
         return false;
     }
     context.log.line(adapters::importance::keep, "upstream_leaves")
@@ -146,21 +148,21 @@
 
 } // namespace
 
-void note_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
-                           const char* why) {
+void record_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
+                             const char* why) {
     const auto span = note(context, upstream, why, membership::note_failure);
     if (span) {
-        context.tell_suspicion(upstream, *span, why);
+        context.broadcast_suspicion(upstream, *span, why);
     }
 }
 
-void note_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
+void record_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
     // Others are not told: some services fail one call in seven, and of many entries one always
     // sees several in a row.
     note(context, upstream, "error_answers", membership::note_error);
 }
 
-void note_upstream_success(entry_context& context, const base::upstream_instance& upstream) {
+void record_upstream_success(entry_context& context, const base::upstream_instance& upstream) {
     if (auto* one = fleet::find_instance(context.state.fleet, upstream)) {
         membership::note_success(one->health, fleet_rules_of(context.settings).health);
     }
--- a/src/proxy/context_tests.cpp
+++ b/src/proxy/context_tests.cpp
@@ -30,13 +30,13 @@
     REQUIRE(holds(1));
 
     SECTION("when it holds newer ones") {
-        proxy::note_weights(world.entry(), fleet::instance_of(member), {"m"}, 2);
+        proxy::record_weights(world.entry(), fleet::instance_of(member), {"m"}, 2);
         CHECK_FALSE(holds(1));
         read_at(2);
         CHECK(holds(2));
     }
     SECTION("but not on late news of those that it holds") {
-        proxy::note_weights(world.entry(), fleet::instance_of(member), {"m"}, 1);
+        proxy::record_weights(world.entry(), fleet::instance_of(member), {"m"}, 1);
         CHECK(holds(1));
     }
 }
--- a/src/proxy/crash_watch.cpp
+++ b/src/proxy/crash_watch.cpp
@@ -118,11 +118,11 @@
         .span("age_ms", now - report.at);
 }
 
-void crash_watch::take(const base::entry_id& from, const peering::hold_report& told,
+void crash_watch::take(const base::entry_id& from, const peering::quarantine_notice& told,
                        base::instant written) {
     const base::micros longest = quarantine::quarantine_rules{}.longest_hold;
-    const base::micros left = told.left - (this->context.now() - written);
-    const bool makes_sense = left > base::micros(0) && told.left <= longest;
+    const base::micros left = told.remaining - (this->context.now() - written);
+    const bool makes_sense = left > base::micros(0) && told.remaining <= longest;
     if (makes_sense) {
         this->adopt({told.request, left, 0}, from.value.c_str());
     }
@@ -160,7 +160,7 @@
     std::vector<peering::message> all;
     for (const auto& one : quarantine::held(this->context.state.quarantine, this->context.now())) {
         if (!one.end_unknown) {
-            all.emplace_back(peering::hold_report{
+            all.emplace_back(peering::quarantine_notice{
                 one.request, std::chrono::duration_cast<base::milliseconds>(one.span)});
         }
     }
@@ -177,7 +177,7 @@
     for (const auto& begun : quarantine::take_decisions(state, now, {})) {
         this->log_hold(begun, "");
         this->context.metrics.count("camphorrail_requests_quarantined_total");
-        this->tell(peering::hold_report{
+        this->tell(peering::quarantine_notice{
             begun.request, std::chrono::duration_cast<base::milliseconds>(begun.span)});
         this->held_back(begun, true);
     }
--- a/src/proxy/crash_watch.h
+++ b/src/proxy/crash_watch.h
@@ -29,7 +29,8 @@
     void note_replaced(const base::upstream_id& replaced);
     // What another entry told, and when it wrote that.
     void take(const base::entry_id& from, const peering::crash_report& told, base::instant written);
-    void take(const base::entry_id& from, const peering::hold_report& told, base::instant written);
+    void take(const base::entry_id& from, const peering::quarantine_notice& told,
+              base::instant written);
     // A hold that stands in the platform's store.
     void take_written(const quarantine::hold& written);
     // What an entry is told that has just linked: all holds whose end is known.
--- a/src/proxy/crash_watch_tests.cpp
+++ b/src/proxy/crash_watch_tests.cpp
@@ -96,7 +96,8 @@
         for (const auto& message : world.told) {
             const auto heard = peering::decode(peering::encode({message}));
             REQUIRE(heard.has_value());
-            if (const auto* hold = std::get_if<peering::hold_report>(&heard.value().told)) {
+            if (const auto* hold =
+                    std::get_if<peering::quarantine_notice>(&heard.value().payload)) {
                 other.crash_watch().take({"entry-1"}, *hold, other.entry().now());
             }
         }
@@ -119,7 +120,7 @@
         return engine_script{{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
     });
     const auto identity = quarantine::identify({"/safe/x", "north", "same bytes"});
-    world.crash_watch().take({"entry-2"}, peering::hold_report{identity, base::minutes(5)},
+    world.crash_watch().take({"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)},
                              world.entry().now());
     const std::string of_north = tests::request("safe", "r1", "same bytes");
     std::string of_south = tests::request("safe", "r2", "same bytes");
@@ -163,20 +164,22 @@
         if (!word_first) {
             world.crash_watch().take_written(written);
         }
-        world.crash_watch().take({"entry-2"}, peering::hold_report{identity, base::minutes(1)},
+        world.crash_watch().take({"entry-2"},
+                                 peering::quarantine_notice{identity, base::minutes(1)},
                                  world.entry().now());
         if (word_first) {
             world.crash_watch().take_written(written);
         }
         CHECK(is_held());
         REQUIRE(world.crash_watch().greeting().size() == 1);
-        const auto told = std::get<peering::hold_report>(world.crash_watch().greeting()[0]);
-        CHECK(told.left <= base::minutes(1));
+        const auto told = std::get<peering::quarantine_notice>(world.crash_watch().greeting()[0]);
+        CHECK(told.remaining <= base::minutes(1));
         wait(base::seconds(61));
         CHECK_FALSE(is_held());
     }
     SECTION("what is known to hold for longer does so") {
-        world.crash_watch().take({"entry-2"}, peering::hold_report{identity, base::minutes(20)},
+        world.crash_watch().take({"entry-2"},
+                                 peering::quarantine_notice{identity, base::minutes(20)},
                                  world.entry().now());
         world.crash_watch().take_written(written);
         wait(base::minutes(19));
@@ -296,7 +299,7 @@
     world.call_until(tests::request("once", "r1", fatal_body),
                      [&engine] { return engine.requests.size() == 1; });
     const auto identity = quarantine::identify({"/once/x", "north", fatal_body});
-    world.crash_watch().take({"entry-2"}, peering::hold_report{identity, base::minutes(5)},
+    world.crash_watch().take({"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)},
                              world.entry().now());
     REQUIRE(world.run_until([&] { return engine.closed_by_peer == 1; }));
     // It may have run.
@@ -329,7 +332,7 @@
         engines.push_back(&world.add_engine("i-" + std::to_string(each), answer));
         auto& one = world.state.fleet.members.at({"i-" + std::to_string(each)});
         // The one with the most work has the most slots, and so the least load for its size.
-        one.ours.in_flight = 6 - each;
+        one.local_work.in_flight = 6 - each;
         one.listed.slots = 1000 / (each * each + 1);
     }
     const auto suspect = quarantine::identify({"/safe/x", "north", "suspect"});
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -67,8 +67,8 @@
 bool kv_store_follower::is_our_turn(const std::string& address, const followed_store& store) const {
     const std::size_t place =
         entries::place_in_line(this->linked_entries(), this->context.settings.id, address);
-    const auto known = this->context.state.kept.find(address);
-    const bool down = known != this->context.state.kept.end() && known->second.down;
+    const auto known = this->context.state.stored_prompts.find(address);
+    const bool down = known != this->context.state.stored_prompts.end() && known->second.down;
     const auto unheard = this->context.now() - store.told_at;
     return place == 0 || unheard > silence_a_place * static_cast<std::int64_t>(place) ||
            (down && place < places_that_check);
@@ -77,19 +77,19 @@
 void kv_store_follower::ask(const std::string& address, followed_store& store) {
     store.asking = true;
     const bool listing = !store.listed;
-    const auto& words = this->context.words;
+    const auto& words = this->context.codec;
     const auto wait = store.failures > 0 ? base::milliseconds(0) : longest_wait;
     const auto call =
-        listing ? words.cache_listing_call : words.cache_changes_call(store.next, wait);
+        listing ? words.cache_listing_request : words.make_cache_changes_request(store.next, wait);
     adapters::http_fetch(
         this->context.loop.base(), address, to_call(call), {wait + answer_time, false},
         most_answer_bytes, [this, address, listing](base::result<adapters::http_answer> answer) {
             this->stores.at(address).asking = false;
             const bool fine = answer.has_value() && answer.value().status == status_ok;
-            const auto& words = this->context.words;
+            const auto& words = this->context.codec;
             const auto read = !fine     ? base::code::upstream_failed
-                              : listing ? words.read_cache_listing(answer.value().body)
-                                        : words.read_cache_changes(answer.value().body);
+                              : listing ? words.parse_cache_listing(answer.value().body)
+                                        : words.parse_cache_changes(answer.value().body);
             if (read.has_value()) {
                 this->take_answer(address, read.value(), listing);
             } else {
@@ -98,25 +98,25 @@
         });
 }
 
-void kv_store_follower::take_answer(const std::string& address, const ports::cache_news& news,
+void kv_store_follower::take_answer(const std::string& address, const ports::cache_update& news,
                                     bool listing) {
     auto& store = this->stores.at(address);
     const base::instant now = this->context.now();
     store.failures = 0;
-    const bool lost = !listing && (news.gap || news.incarnation != store.incarnation);
+    const bool lost = !listing && (news.has_gap || news.incarnation != store.incarnation);
     store.listed = !lost;
     store.incarnation = news.incarnation;
-    store.next = news.next;
+    store.next = news.next_sequence;
     store.next_ask = lost ? now : now + ask_pause;
     this->note_reachable(address, true);
     if (lost) {
         return;
     }
-    peering::kept_parts told{address, listing, false, {}};
+    peering::kv_store_contents told{address, listing, false, {}};
     for (const auto& each : news.parts) {
         told.parts.push_back({kvcache::part_key(each.salt, each.part), each.tokens});
     }
-    auto& kept = this->context.state.kept[address];
+    auto& kept = this->context.state.stored_prompts[address];
     if (listing) {
         kvcache::take_listing(kept, told.parts, now);
     } else {
@@ -135,7 +135,7 @@
     }
     store.listed = false;
     store.next_ask = now + down_pause;
-    auto& kept = this->context.state.kept[address];
+    auto& kept = this->context.state.stored_prompts[address];
     const bool news = !kept.down;
     kvcache::note_down(kept, now);
     if (news) {
@@ -145,8 +145,8 @@
 }
 
 void kv_store_follower::note_reachable(const std::string& address, bool reachable) {
-    const auto known = this->context.state.kept.find(address);
-    const bool was_down = known != this->context.state.kept.end() && known->second.down;
+    const auto known = this->context.state.stored_prompts.find(address);
+    const bool was_down = known != this->context.state.stored_prompts.end() && known->second.down;
     if (reachable != was_down) {
         return;
     }
@@ -154,18 +154,19 @@
         .text("store", address);
 }
 
-void kv_store_follower::take(const base::entry_id& from, const peering::kept_parts& told) {
+void kv_store_follower::take(const base::entry_id& from, const peering::kv_store_contents& told) {
     const base::instant now = this->context.now();
     this->stores[told.store].told_at = now;
-    auto& kept = this->context.state.kept[told.store];
-    if (told.down != kept.down) {
-        this->context.log.line(importance::keep, told.down ? "kv_store_lost" : "kv_store_regained")
+    auto& kept = this->context.state.stored_prompts[told.store];
+    if (told.unreachable != kept.down) {
+        this->context.log
+            .line(importance::keep, told.unreachable ? "kv_store_lost" : "kv_store_regained")
             .text("store", told.store)
             .text("entry", from.value);
     }
-    if (told.down) {
+    if (told.unreachable) {
         kvcache::note_down(kept, now);
-    } else if (told.whole) {
+    } else if (told.complete) {
         kvcache::take_listing(kept, told.parts, now);
     } else {
         kvcache::take_changes(kept, told.parts, now);
@@ -175,11 +176,11 @@
 std::vector<peering::message> kv_store_follower::whole_views() const {
     std::vector<peering::message> views;
     for (const auto& [address, store] : this->stores) {
-        const auto known = this->context.state.kept.find(address);
-        if (!store.followed || !store.listed || known == this->context.state.kept.end()) {
+        const auto known = this->context.state.stored_prompts.find(address);
+        if (!store.followed || !store.listed || known == this->context.state.stored_prompts.end()) {
             continue;
         }
-        peering::kept_parts view{address, true, false, {}};
+        peering::kv_store_contents view{address, true, false, {}};
         for (const auto& [part, tokens] : known->second.parts) {
             view.parts.push_back({part, tokens});
         }
--- a/src/proxy/kv_store_follower.h
+++ b/src/proxy/kv_store_follower.h
@@ -21,12 +21,12 @@
     // Asks the stores that it is this entry's turn to ask.
     void tick();
     // Takes what another entry says.
-    void take(const base::entry_id& from, const peering::kept_parts& told);
+    void take(const base::entry_id& from, const peering::kv_store_contents& told);
     // All that the stores hold which this entry asks, for an entry that has just linked to us.
     [[nodiscard]] std::vector<peering::message> whole_views() const;
 
     // Tells the other entries; to be set before the first tick.
-    std::function<void(const peering::kept_parts&)> tell;
+    std::function<void(const peering::kv_store_contents&)> tell;
 
 private:
     // A store, as this entry asks it.
@@ -46,7 +46,7 @@
 
     [[nodiscard]] bool is_our_turn(const std::string& address, const followed_store& store) const;
     void ask(const std::string& address, followed_store& store);
-    void take_answer(const std::string& address, const ports::cache_news& news, bool listing);
+    void take_answer(const std::string& address, const ports::cache_update& news, bool listing);
     void take_failure(const std::string& address);
     void note_reachable(const std::string& address, bool reachable);
 
--- a/src/proxy/kv_store_follower_tests.cpp
+++ b/src/proxy/kv_store_follower_tests.cpp
@@ -13,7 +13,7 @@
     std::string listing = R"({"bootEpoch":7,"next":3,"held":[["m.1","aa",2520,"m"]]})";
     std::string changes = R"({"bootEpoch":7,"next":3,"lost":false,"events":[]})";
     std::vector<base::entry_id> linked;
-    std::vector<peering::kept_parts> told;
+    std::vector<peering::kv_store_contents> told;
     tests::scripted_engine& store;
     proxy::kv_store_follower follower;
 
@@ -28,7 +28,7 @@
           follower(this->world.entry(), [this] { return this->linked; }) {
         this->world.config.kv_stores = {{this->store.address(), {"a"}, 1000}};
         this->world.prove_config();
-        this->follower.tell = [this](const peering::kept_parts& message) {
+        this->follower.tell = [this](const peering::kv_store_contents& message) {
             this->told.push_back(message);
         };
     }
@@ -43,7 +43,7 @@
     }
 
     [[nodiscard]] std::int64_t held(const std::string& part) {
-        const auto& parts = this->world.state.kept[this->store.address()].parts;
+        const auto& parts = this->world.state.stored_prompts[this->store.address()].parts;
         const auto found = parts.find(kvcache::part_key("m.1", part));
         return found == parts.end() ? 0 : found->second;
     }
@@ -54,14 +54,14 @@
 TEST_CASE("an entry follows a store of kept cache for all", "[proxy]") {
     store_world world;
     REQUIRE(world.tick_until([&] { return world.held("aa") == 2520; }));
-    CHECK(world.told.front().whole);
+    CHECK(world.told.front().complete);
     CHECK(world.told.front().parts.size() == 1);
 
     SECTION("and tells what changes there") {
         world.changes = R"({"bootEpoch":7,"next":5,"lost":false,
             "events":[[4,"+","m.1","bb",100,"m"],[5,"-","m.1","aa",0,"m"]]})";
         CHECK(world.tick_until([&] { return world.held("bb") == 100 && world.held("aa") == 0; }));
-        CHECK_FALSE(world.told.back().whole);
+        CHECK_FALSE(world.told.back().complete);
     }
     // Events come late and some never come. The store says that some are lost, and what was built
     // on them would go wrong without a sign; so everything is read anew.
@@ -79,14 +79,14 @@
     // prompt, so all entries hear of it at once.
     SECTION("and says when it takes no connections") {
         world.store.stop_listening();
-        CHECK(world.tick_until([&] { return world.told.back().down; }));
-        CHECK(world.world.state.kept[world.store.address()].down);
+        CHECK(world.tick_until([&] { return world.told.back().unreachable; }));
+        CHECK(world.world.state.stored_prompts[world.store.address()].down);
         CHECK(world.held("aa") == 0);
     }
     SECTION("and an entry that links to it later hears all") {
         const auto views = world.follower.whole_views();
         REQUIRE(views.size() == 1);
-        CHECK(std::get<peering::kept_parts>(views.front()).parts.size() == 1);
+        CHECK(std::get<peering::kv_store_contents>(views.front()).parts.size() == 1);
     }
 }
 
@@ -111,6 +111,6 @@
     }
     SECTION("and what they hear of its end counts for them too") {
         world.follower.take({"entry-1"}, {world.store.address(), false, true, {}});
-        CHECK(world.world.state.kept[world.store.address()].down);
+        CHECK(world.world.state.stored_prompts[world.store.address()].down);
     }
 }
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -38,11 +38,11 @@
 }
 
 std::string leadership::leader_key() const {
-    return this->context.words.own_prefix + "leader";
+    return this->context.codec.own_prefix + "leader";
 }
 
 std::string leadership::orderer_key() const {
-    return this->context.words.own_prefix + "orderer";
+    return this->context.codec.own_prefix + "orderer";
 }
 
 weights::term_rules leadership::rules() const {
@@ -70,10 +70,10 @@
     }
     this->writing_down = true;
     ports::transaction change;
-    change.expectations = {{this->leader_key(), this->held->fence}};
+    change.preconditions = {{this->leader_key(), this->held->fence}};
     change.writes = {{this->orderer_key(), this->name(), false, 0}};
     const std::int64_t fence = this->held->fence;
-    this->platform.commit(change, [this, fence](base::result<ports::committed> done) {
+    this->platform.commit(change, [this, fence](base::result<ports::commit_result> done) {
         this->writing_down = false;
         if (!this->held || this->held->fence != fence || !done.has_value()) {
             return;
@@ -175,11 +175,11 @@
     const auto before = this->last_orderer();
     ports::transaction change;
     // What is known of the last one that ordered must be up to date.
-    change.expectations = {{this->leader_key(), 0}, {this->orderer_key(), last_revision}};
+    change.preconditions = {{this->leader_key(), 0}, {this->orderer_key(), last_revision}};
     change.writes = {{this->leader_key(), this->name(), false, lease}};
     this->asking = true;
     this->platform.commit(change,
-                          [this, lease, asked, before](base::result<ports::committed> done) {
+                          [this, lease, asked, before](base::result<ports::commit_result> done) {
                               this->asking = false;
                               if (!done.has_value() || !done.value().applied) {
                                   return;
@@ -200,7 +200,7 @@
     const base::instant asked = this->context.now();
     this->next_renewal = asked + renewal_period;
     this->asking = true;
-    this->platform.keep_lease(this->held->lease, [this, asked](base::result<bool> kept) {
+    this->platform.renew_lease(this->held->lease, [this, asked](base::result<bool> kept) {
         this->asking = false;
         if (!this->held) {
             return;
@@ -226,10 +226,10 @@
         return;
     }
     ports::transaction change;
-    change.expectations = {{this->leader_key(), this->held->fence}};
+    change.preconditions = {{this->leader_key(), this->held->fence}};
     this->lose("stopping");
     change.writes = {{this->leader_key(), "", true, 0}};
-    this->platform.commit(change, [this](base::result<ports::committed> done) {
+    this->platform.commit(change, [this](base::result<ports::commit_result> done) {
         if (!done.has_value()) {
             // The lease ends by itself; the next leader only waits longer.
             this->context.log.line(importance::keep, "leader_key_left");
--- a/src/proxy/leadership_tests.cpp
+++ b/src/proxy/leadership_tests.cpp
@@ -27,15 +27,15 @@
     ports::platform make_platform() {
         ports::platform platform;
         platform.grant_lease = [](std::int64_t, const auto& done) { done(std::int64_t{7}); };
-        platform.keep_lease = [](std::int64_t, const auto& done) { done(true); };
+        platform.renew_lease = [](std::int64_t, const auto& done) { done(true); };
         platform.commit = [this](const ports::transaction&, const auto& done) {
-            done(ports::committed{true, ++this->revision});
+            done(ports::commit_result{true, ++this->revision});
         };
         return platform;
     }
 
     [[nodiscard]] std::string key(const std::string& name) {
-        return this->world.entry().words.own_prefix + name;
+        return this->world.entry().codec.own_prefix + name;
     }
 
     void write(const std::string& name, const std::string& value) {
@@ -136,7 +136,7 @@
         }
         tick_for(base::milliseconds(1200));
         CHECK(leases <= 1);
-        const std::string key = world.entry().words.own_prefix + "leader";
+        const std::string key = world.entry().codec.own_prefix + "leader";
         world.state.store.items[key] = {key, "another", 6};
         leader.note_store_change();
         tick_for(base::seconds(10));
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -45,33 +45,33 @@
     const base::instant now = this->context.now();
     peering::entry_load load;
     load.from = this->context.settings.id;
-    load.period = whole_period(linked);
-    load.whole = now >= this->next_whole;
-    if (load.whole) {
-        this->next_whole = now + load.period;
+    load.report_interval = whole_period(linked);
+    load.complete = now >= this->next_whole;
+    if (load.complete) {
+        this->next_whole = now + load.report_interval;
     }
     std::map<base::upstream_id, peering::upstream_load> telling;
     for (const auto& [id, one] : this->context.state.fleet.members) {
         const auto before = this->told.find(id);
         const bool known = before != this->told.end();
-        if (one.ours.in_flight == 0 && !known) {
+        if (one.local_work.in_flight == 0 && !known) {
             continue;
         }
-        const auto heard = std::chrono::duration_cast<base::milliseconds>(now - one.heard_at);
-        const peering::upstream_load item{fleet::instance_of(one), one.ours, heard};
+        const auto heard = std::chrono::duration_cast<base::milliseconds>(now - one.last_byte_at);
+        const peering::upstream_load item{fleet::instance_of(one), one.local_work, heard};
         const bool is_news = !known || !same_work(before->second.work, item.work);
-        if (is_news || (load.whole && one.ours.in_flight > 0)) {
+        if (is_news || (load.complete && one.local_work.in_flight > 0)) {
             load.items.push_back(item);
         }
-        if (one.ours.in_flight > 0) {
+        if (one.local_work.in_flight > 0) {
             telling[id] = item;
         }
     }
     this->told = std::move(telling);
-    for (const auto& [store, ms] : std::exchange(this->context.state.untold_transfers, {})) {
+    for (const auto& [store, ms] : std::exchange(this->context.state.unreported_transfers, {})) {
         load.transfers.push_back({store, ms});
     }
-    load.reads = std::exchange(this->context.state.untold_reads, {});
+    load.reads = std::exchange(this->context.state.unreported_reads, {});
     auto& quotas = this->context.state.quotas;
     load.uptime = std::chrono::duration_cast<base::milliseconds>(quota::uptime(quotas, now));
     load.usage = quota::collect(quotas, now, quota_rules_of(this->context.settings));
@@ -102,8 +102,9 @@
     auto own = this->own_load(linked);
     // One last message says that nothing is left.
     const bool is_there = this->heartbeat_due();
-    const bool says_something = !is_empty(own) || is_there || (own.whole && this->told_something);
-    if (own.whole) {
+    const bool says_something =
+        !is_empty(own) || is_there || (own.complete && this->told_something);
+    if (own.complete) {
         this->told_something = !own.items.empty();
     }
     auto relayed = this->relayed_loads();
@@ -118,23 +119,24 @@
 }
 
 void load_exchange::take(const peering::load_report& message, bool passes_on) {
-    for (const auto& load : message.all) {
+    for (const auto& load : message.loads) {
         this->take_load(load);
     }
-    if (passes_on && !message.all.empty()) {
-        this->to_relay.push_back({message.all.front(), this->context.now()});
+    if (passes_on && !message.loads.empty()) {
+        this->to_relay.push_back({message.loads.front(), this->context.now()});
     }
 }
 
 void load_exchange::take_load(const peering::entry_load& load) {
     const base::instant now = this->context.now();
-    const base::instant until = now + std::max(load.period * believed_periods, least_belief);
+    const base::instant until =
+        now + std::max(load.report_interval * believed_periods, least_belief);
     auto& state = this->context.state;
     quota::take_report(state.quotas, {load.from, load.age, load.uptime, load.usage}, now,
                        quota_rules_of(this->context.settings));
-    if (load.whole) {
+    if (load.complete) {
         for (auto& [id, one] : state.fleet.members) {
-            one.elsewhere.erase(load.from);
+            one.remote_work.erase(load.from);
         }
     }
     for (const auto& item : load.items) {
@@ -143,18 +145,19 @@
             continue;
         }
         if (item.work.in_flight > 0) {
-            one->elsewhere[load.from] = {item.work, until, now - load.age};
+            one->remote_work[load.from] = {item.work, until, now - load.age};
         } else {
-            one->elsewhere.erase(load.from);
+            one->remote_work.erase(load.from);
         }
         // With many entries each hears little of an upstream; together they know whether it lives.
-        one->heard_at = std::max<base::instant>(one->heard_at, now - load.age - item.heard_ago);
+        one->last_byte_at =
+            std::max<base::instant>(one->last_byte_at, now - load.age - item.last_byte_age);
     }
     for (const auto& each : load.transfers) {
-        kvcache::note_transfer(state.kept[each.store], each.ms, now);
+        kvcache::note_transfer(state.stored_prompts[each.store], each.duration_ms, now);
     }
     for (const auto& read : load.reads) {
-        note_prompt_read(this->context, read);
+        record_prompt_read(this->context, read);
     }
 }
 
--- a/src/proxy/load_exchange_tests.cpp
+++ b/src/proxy/load_exchange_tests.cpp
@@ -25,7 +25,7 @@
     fleet::member& at_listener() { return this->listener.state.fleet.members.at({"engine"}); }
 
     [[nodiscard]] std::int64_t heard_in_flight() {
-        return fleet::all_work(this->at_listener(), this->listener.entry().now()).in_flight;
+        return fleet::total_work(this->at_listener(), this->listener.entry().now()).in_flight;
     }
 
     // Gives whether there was news.
@@ -47,24 +47,24 @@
 
 TEST_CASE("entries tell each other what they have under way", "[proxy]") {
     exchange_world world;
-    world.at_teller().ours = {2, 5000, 9000, 0};
+    world.at_teller().local_work = {2, 5000, 9000, 0};
     REQUIRE(world.tell());
     CHECK(world.heard_in_flight() == 2);
 
     SECTION("and then only what has changed") {
         CHECK_FALSE(world.tell());
-        world.at_teller().ours = {1, 0, 4000, 0};
+        world.at_teller().local_work = {1, 0, 4000, 0};
         REQUIRE(world.tell());
         CHECK(world.heard_in_flight() == 1);
     }
     SECTION("also that nothing is left") {
-        world.at_teller().ours = {};
+        world.at_teller().local_work = {};
         REQUIRE(world.tell());
         CHECK(world.heard_in_flight() == 0);
         CHECK_FALSE(world.tell());
     }
     SECTION("and now and then all of it, for those that missed something") {
-        world.at_listener().elsewhere.clear();
+        world.at_listener().remote_work.clear();
         world.wait(base::milliseconds(150));
         REQUIRE(world.tell());
         CHECK(world.heard_in_flight() == 2);
@@ -79,15 +79,15 @@
 // way goes along, since what waited then may have been read meanwhile.
 TEST_CASE("what entries of other zones say is passed on with its age", "[proxy]") {
     exchange_world world;
-    world.at_teller().ours = {3, 6000, 9000, 0};
+    world.at_teller().local_work = {3, 6000, 9000, 0};
     REQUIRE(world.tell(true));
     world.wait(base::milliseconds(120));
     const auto passed = world.listening.collect(20);
     REQUIRE(passed.near);
     CHECK_FALSE(passed.far);
-    REQUIRE(passed.near->all.size() == 1);
-    CHECK(passed.near->all.front().items.front().work.in_flight == 3);
-    CHECK(passed.near->all.front().age >= base::milliseconds(120));
+    REQUIRE(passed.near->loads.size() == 1);
+    CHECK(passed.near->loads.front().items.front().work.in_flight == 3);
+    CHECK(passed.near->loads.front().age >= base::milliseconds(120));
     CHECK_FALSE(world.listening.collect(20).near);
 }
 
@@ -95,18 +95,19 @@
 // it takes to tell again, it drove prompts from the engines that had them cached.
 TEST_CASE("what others said waits is read meanwhile", "[proxy]") {
     exchange_world world;
-    world.at_teller().ours = {1, 6000, 9000, 0};
+    world.at_teller().local_work = {1, 6000, 9000, 0};
     REQUIRE(world.tell());
     constexpr double tokens_a_ms = 100.0;
     const auto unread = [&] {
-        return fleet::unread_tokens(world.at_listener(), world.listener.entry().now(), tokens_a_ms);
+        return fleet::estimate_unread_tokens(world.at_listener(), world.listener.entry().now(),
+                                             tokens_a_ms);
     };
     CHECK(unread() > 5000);
     world.wait(base::milliseconds(30));
     CHECK(unread() < 3100);
     world.wait(base::milliseconds(40));
     CHECK(unread() == 0);
-    world.at_listener().ours.unread_tokens = 700;
+    world.at_listener().local_work.unread_tokens = 700;
     CHECK(unread() == 700);
 }
 
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -51,11 +51,11 @@
 
 } // namespace
 
-std::vector<peering::upstream_leaving> leaving_to_tell(const entry_context& context) {
-    std::vector<peering::upstream_leaving> told;
+std::vector<peering::upstream_draining> leaving_to_tell(const entry_context& context) {
+    std::vector<peering::upstream_draining> told;
     for (const auto& [id, one] : context.state.fleet.members) {
-        if (one.says_leaving_since) {
-            told.push_back({fleet::instance_of(one), context.now() - *one.says_leaving_since});
+        if (one.drain_reported_at) {
+            told.push_back({fleet::instance_of(one), context.now() - *one.drain_reported_at});
         }
     }
     return told;
@@ -66,7 +66,7 @@
       load_timer(context.loop.base(), [this] { this->tell_load(); }) {}
 
 std::string peers::list_prefix() const {
-    return this->context.words.own_prefix + "entries/";
+    return this->context.codec.own_prefix + "entries/";
 }
 
 std::map<base::entry_id, std::string> peers::listed() const {
@@ -130,7 +130,7 @@
     }
     if (const auto entries = this->count(); entries != this->last_count) {
         this->last_count = entries;
-        this->context.state.entries = entries;
+        this->context.state.entry_count = entries;
         this->count_changed();
     }
 }
@@ -151,7 +151,7 @@
 
 void peers::renew_place() {
     this->next_registration = this->context.now() + renewal_period;
-    this->platform.keep_lease(this->lease, [this](base::result<bool> kept) {
+    this->platform.renew_lease(this->lease, [this](base::result<bool> kept) {
         this->registering = false;
         if (kept.has_value() && !kept.value()) {
             this->lease = 0;
@@ -170,7 +170,7 @@
         this->lease = granted.value();
         ports::transaction change;
         change.writes = {{key, this->context.settings.peer_listen, false, this->lease}};
-        this->platform.commit(change, [this](base::result<ports::committed> done) {
+        this->platform.commit(change, [this](base::result<ports::commit_result> done) {
             const bool fine = done.has_value() && done.value().applied;
             this->context.log.line(importance::keep, "entry_listed").flag("done", fine);
         });
@@ -198,8 +198,8 @@
 void peers::greet(peer_link& to) {
     to.open = true;
     to.link->send(
-        this->frame_of(peering::hello{this->context.settings.id, this->context.settings.zone,
-                                      this->started_at.time_since_epoch().count()}));
+        this->frame_of(peering::handshake{this->context.settings.id, this->context.settings.zone,
+                                          this->started_at.time_since_epoch().count()}));
     for (const auto& message : this->greeting()) {
         to.link->send(this->frame_of(message));
     }
@@ -207,7 +207,7 @@
 
 void peers::add(const adapters::link_ptr& link, base::entry_id id) {
     const link_key key = ++this->last_link;
-    this->links[key] = {link, std::move(id), {}, std::make_shared<base::teller_clock>(), false, 0,
+    this->links[key] = {link, std::move(id), {}, std::make_shared<base::sender_clock>(), false, 0,
                         {}};
     // What is sent before a link stands is lost.
     link->opened.connect([this, key] {
@@ -307,7 +307,8 @@
 void peers::ask(peer_link& of) {
     of.asked = ++this->last_ask;
     of.asked_at = this->context.now();
-    of.link->send(this->frame_of(peering::store_ask{of.asked, this->context.state.store.revision}));
+    of.link->send(
+        this->frame_of(peering::store_query{of.asked, this->context.state.store.revision}));
 }
 
 void peers::drop_silent() {
@@ -336,24 +337,24 @@
     }
     const auto& [told, uptime] = frame.value();
     auto& from = this->links.at(key);
-    if (const auto* first = std::get_if<peering::hello>(&told)) {
+    if (const auto* first = std::get_if<peering::handshake>(&told)) {
         this->meet(from, *first);
     }
-    const base::instant written = base::written_at(*from.clock, uptime, this->context.now());
+    const base::instant written = base::estimate_sent_at(*from.clock, uptime, this->context.now());
     std::visit([&](const auto& each) { this->take(key, each, written); }, told);
 }
 
-void peers::meet(peer_link& other, const peering::hello& message) {
+void peers::meet(peer_link& other, const peering::handshake& message) {
     auto& known = this->tellers[message.from];
-    if (known.clock == nullptr || known.life != message.life) {
-        known = {message.life, std::make_shared<base::teller_clock>()};
+    if (known.clock == nullptr || known.life != message.incarnation) {
+        known = {message.incarnation, std::make_shared<base::sender_clock>()};
     }
     other.clock = known.clock;
     other.id = message.from;
     other.zone = message.zone;
 }
 
-void peers::take(link_key /*key*/, const peering::hello& message, base::instant /*written*/) {
+void peers::take(link_key /*key*/, const peering::handshake& message, base::instant /*written*/) {
     this->context.log.line(importance::keep, "entry_link_stands").text("entry", message.from.value);
 }
 
@@ -363,21 +364,21 @@
         return;
     }
     auto& one = *found;
-    const base::instant until = written + message.span;
-    if (message.changing) {
+    const base::instant until = written + message.duration;
+    if (message.changing_weights) {
         one.busy_until = std::max<base::instant>(one.busy_until, until);
-        one.changing_until = std::max<base::instant>(one.changing_until, until);
+        one.weights_change_until = std::max<base::instant>(one.weights_change_until, until);
     } else {
         one.suspected_until = std::max<base::instant>(one.suspected_until, until);
     }
     this->context.log.line(importance::keep, "upstream_suspected_by_entry")
         .text("upstream", message.upstream.id.value)
         .text("entry", this->links.at(key).id.value)
-        .text("why", message.why)
-        .number("for_ms", message.span.count());
+        .text("why", message.reason)
+        .number("for_ms", message.duration.count());
 }
 
-void peers::take(link_key /*key*/, const peering::weights_held& message,
+void peers::take(link_key /*key*/, const peering::loaded_weights& message,
                  base::instant /*written*/) {
     this->weights_changed(message);
 }
@@ -388,7 +389,8 @@
     this->loads.take(message, is_far);
 }
 
-void peers::take(link_key key, const peering::kept_parts& message, base::instant /*written*/) {
+void peers::take(link_key key, const peering::kv_store_contents& message,
+                 base::instant /*written*/) {
     this->kept_told(this->links.at(key).id, message);
 }
 
@@ -396,13 +398,13 @@
     this->crash_told(this->links.at(key).id, message, written);
 }
 
-void peers::take(link_key key, const peering::hold_report& message, base::instant written) {
+void peers::take(link_key key, const peering::quarantine_notice& message, base::instant written) {
     this->hold_told(this->links.at(key).id, message, written);
 }
 
-void peers::take(link_key key, const peering::upstream_leaving& message, base::instant written) {
-    note_says_leaving(this->context, message.upstream, this->links.at(key).id.value,
-                      written - message.age);
+void peers::take(link_key key, const peering::upstream_draining& message, base::instant written) {
+    record_drain_report(this->context, message.upstream, this->links.at(key).id.value,
+                        written - message.age);
 }
 
 void peers::take(link_key key, const peering::store_changes& message, base::instant /*written*/) {
@@ -416,36 +418,36 @@
     }
 }
 
-void peers::take(link_key key, const peering::store_ask& message, base::instant /*written*/) {
+void peers::take(link_key key, const peering::store_query& message, base::instant /*written*/) {
     const auto& store = this->context.state.store;
     peering::store_view view;
-    view.number = message.number;
+    view.query_id = message.query_id;
     if (const auto age = mirror::age(store, this->context.now())) {
-        view.proved = true;
+        view.confirmed = true;
         view.age = *age;
     }
     if (store.whole_at) {
-        view.whole_age = this->context.now() - *store.whole_at;
+        view.complete_age = this->context.now() - *store.whole_at;
     }
     auto since = mirror::changes_since(store, message.revision);
-    view.whole = !since;
+    view.complete = !since;
     view.changes = since ? std::move(*since) : whole_store(store);
-    view.named = named_weights_to_tell(this->context);
+    view.targets = named_weights_to_tell(this->context);
     this->links.at(key).link->send(this->frame_of(view));
 }
 
 void peers::take(link_key key, const peering::store_view& message, base::instant /*written*/) {
     auto& asked = this->links.at(key);
-    if (message.number != asked.asked) {
+    if (message.query_id != asked.asked) {
         return;
     }
     asked.asked = 0;
     const auto from = asked.id;
     const auto asked_at = asked.asked_at;
-    if (message.proved) {
+    if (message.confirmed) {
         this->take_store(asked, message);
     }
-    this->named_weights_told(from, message.named, asked_at);
+    this->named_weights_told(from, message.targets, asked_at);
 }
 
 void peers::take_store(const peer_link& asked, const peering::store_view& view) {
@@ -454,14 +456,14 @@
     const base::instant proved = asked.asked_at - view.age;
     const auto before = mirror::age(store, this->context.now());
     std::set<std::string> changed;
-    if (view.whole) {
+    if (view.complete) {
         changed = mirror::take_snapshot(store, snapshot_of(view.changes), proved);
     } else {
         changed = mirror::take_changes(store, view.changes);
         mirror::prove(store, proved);
     }
-    if (view.whole_age) {
-        mirror::note_revision(store, view.changes.revision, asked.asked_at - *view.whole_age);
+    if (view.complete_age) {
+        mirror::note_revision(store, view.changes.revision, asked.asked_at - *view.complete_age);
     }
     this->context.log.line(importance::keep, "store_view_from_entry")
         .text("entry", asked.id.value)
@@ -480,7 +482,7 @@
     }
     ports::transaction change;
     change.writes = {{this->list_prefix() + this->context.settings.id.value, "", true, 0}};
-    this->platform.commit(change, [](const base::result<ports::committed>& /*done*/) {
+    this->platform.commit(change, [](const base::result<ports::commit_result>& /*done*/) {
         // If it fails, the lease ends by itself.
     });
 }
--- a/src/proxy/peers.h
+++ b/src/proxy/peers.h
@@ -2,7 +2,7 @@
 
 #include "adapters/link.h"
 #include "adapters/timer.h"
-#include "base/teller_clock.h"
+#include "base/sender_clock.h"
 #include "peering/messages.h"
 #include "proxy/context.h"
 #include "proxy/load_exchange.h"
@@ -17,7 +17,7 @@
 namespace camphorrail::proxy {
 
 // The upstreams that have said that they leave, as another entry is told of them.
-std::vector<peering::upstream_leaving> leaving_to_tell(const entry_context& context);
+std::vector<peering::upstream_draining> leaving_to_tell(const entry_context& context);
 
 // Links to the other entries. Over them an entry that the store turns away stays up to date through
 // those it serves, and all learn at once what one of them has found out about an upstream.
@@ -42,12 +42,12 @@
 
     // Told what another entry said, once it is applied to the mirror where it tells of the store.
     std::function<void(const std::set<std::string>&)> store_changed;
-    std::function<void(const peering::weights_held&)> weights_changed;
+    std::function<void(const peering::loaded_weights&)> weights_changed;
     // Told what another entry answers about when weights were named, and when it was asked.
-    std::function<void(const base::entry_id& from, const std::vector<peering::weights_named>&,
+    std::function<void(const base::entry_id& from, const std::vector<peering::target_weights>&,
                        base::instant asked_at)>
         named_weights_told;
-    std::function<void(const base::entry_id& from, const peering::kept_parts&)> kept_told;
+    std::function<void(const base::entry_id& from, const peering::kv_store_contents&)> kept_told;
     // Takes what an entry that follows the store tells of it; false where something before it was
     // not heard of.
     std::function<bool(const peering::store_changes&)> store_told;
@@ -61,7 +61,7 @@
     std::function<void(const base::entry_id& from, const peering::crash_report&,
                        base::instant written)>
         crash_told;
-    std::function<void(const base::entry_id& from, const peering::hold_report&,
+    std::function<void(const base::entry_id& from, const peering::quarantine_notice&,
                        base::instant written)>
         hold_told;
     // What a new link is told beside who we are.
@@ -75,7 +75,7 @@
         base::entry_id id;
         base::availability_zone zone;
         // Shared by the links to one life of an entry.
-        std::shared_ptr<base::teller_clock> clock;
+        std::shared_ptr<base::sender_clock> clock;
         bool open = false;
         // The ask that is under way, and when it was sent.
         std::int64_t asked = 0;
@@ -88,7 +88,7 @@
     // The last life of another entry, and when what it sends is written.
     struct teller {
         std::int64_t life = 0;
-        std::shared_ptr<base::teller_clock> clock;
+        std::shared_ptr<base::sender_clock> clock;
     };
 
     void register_self();
@@ -105,18 +105,18 @@
     void add(const adapters::link_ptr& link, base::entry_id id);
     void drop(link_key key);
     void received(link_key key, std::string_view bytes);
-    void meet(peer_link& other, const peering::hello& message);
+    void meet(peer_link& other, const peering::handshake& message);
     // `written`: when the message was, however long it lay unread.
-    void take(link_key key, const peering::hello& message, base::instant written);
+    void take(link_key key, const peering::handshake& message, base::instant written);
     void take(link_key key, const peering::suspicion& message, base::instant written);
-    void take(link_key key, const peering::weights_held& message, base::instant written);
+    void take(link_key key, const peering::loaded_weights& message, base::instant written);
     void take(link_key key, const peering::load_report& message, base::instant written);
-    void take(link_key key, const peering::kept_parts& message, base::instant written);
+    void take(link_key key, const peering::kv_store_contents& message, base::instant written);
     void take(link_key key, const peering::store_changes& message, base::instant written);
     void take(link_key key, const peering::crash_report& message, base::instant written);
-    void take(link_key key, const peering::hold_report& message, base::instant written);
-    void take(link_key key, const peering::upstream_leaving& message, base::instant written);
-    void take(link_key key, const peering::store_ask& message, base::instant written);
+    void take(link_key key, const peering::quarantine_notice& message, base::instant written);
+    void take(link_key key, const peering::upstream_draining& message, base::instant written);
+    void take(link_key key, const peering::store_query& message, base::instant written);
     void take(link_key key, const peering::store_view& message, base::instant written);
     void take_store(const peer_link& asked, const peering::store_view& view);
     [[nodiscard]] std::string list_prefix() const;
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -18,7 +18,7 @@
     ports::platform store;
     store.commit = [](const ports::transaction&, auto) {};
     store.grant_lease = [](std::int64_t, auto) {};
-    store.keep_lease = [](std::int64_t, auto) {};
+    store.renew_lease = [](std::int64_t, auto) {};
     return store;
 }
 
@@ -43,14 +43,14 @@
                                                  base::instant asked_at) {
             proxy::take_told_weights(this->world.entry(), from, told, asked_at);
         };
-        const std::string key = this->world.entry().words.own_prefix + "entries/zz";
+        const std::string key = this->world.entry().codec.own_prefix + "entries/zz";
         this->world.state.store.items[key] = {key, other_address, 1};
         this->listener = adapters::listen_for_links(
             this->world.entry().loop.base(), other_address, {most_bytes},
             [this](const adapters::link_ptr& made) {
                 this->other = made;
                 made->received.connect([this](std::string_view bytes) {
-                    this->heard.push_back(peering::decode(bytes).value().told);
+                    this->heard.push_back(peering::decode(bytes).value().payload);
                 });
             });
     }
@@ -94,16 +94,17 @@
 TEST_CASE("both ends of a new link are greeted", "[proxy]") {
     linked_world linked;
     linked.others.greeting = [] {
-        return std::vector<peering::message>{peering::kept_parts{"10.9.9.9:1", true, false, {}}};
+        return std::vector<peering::message>{
+            peering::kv_store_contents{"10.9.9.9:1", true, false, {}}};
     };
     REQUIRE(linked.others.listen());
     std::vector<peering::message> told;
     auto newcomer = adapters::connect_link(linked.world.entry().loop.base(),
                                            linked.world.entry().settings.peer_listen, {most_bytes});
     newcomer->received.connect(
-        [&](std::string_view bytes) { told.push_back(peering::decode(bytes).value().told); });
+        [&](std::string_view bytes) { told.push_back(peering::decode(bytes).value().payload); });
     const auto greeted = [](const std::vector<peering::message>& got) {
-        return got.size() >= 2 && std::holds_alternative<peering::hello>(got.front());
+        return got.size() >= 2 && std::holds_alternative<peering::handshake>(got.front());
     };
     CHECK(linked.tick_until([&] { return greeted(linked.heard); }));
     CHECK(linked.tick_until([&] { return greeted(told); }));
@@ -151,7 +152,7 @@
         linked.send(peering::suspicion{of, base::milliseconds(60000), "unreachable", false});
         peering::entry_load load;
         load.from = {"zz"};
-        load.period = base::milliseconds(60000);
+        load.report_interval = base::milliseconds(60000);
         load.items = {{of, {2, 900, 1900, 0}, base::milliseconds(0)}};
         kvcache::prompt_read read;
         read.levels = {{prompt, 500}};
@@ -159,7 +160,7 @@
         read.by = of;
         load.reads = {read};
         linked.send(peering::load_report{{load}});
-        linked.send(peering::kept_parts{std::to_string(incarnation)});
+        linked.send(peering::kv_store_contents{std::to_string(incarnation)});
     };
     std::string last_told;
     linked.others.kept_told = [&](const auto&, const auto& told) { last_told = told.store; };
@@ -170,13 +171,13 @@
     tell(100);
     REQUIRE(linked.tick_until([&] { return last_told == "100"; }));
     const auto now = linked.world.entry().now();
-    CHECK(fleet::is_fit(engine, now));
-    CHECK(fleet::all_work(engine, now).in_flight == 0);
+    CHECK(fleet::is_eligible(engine, now));
+    CHECK(fleet::total_work(engine, now).in_flight == 0);
     CHECK(readings() == 0);
     tell(200);
     REQUIRE(linked.tick_until([&] { return last_told == "200"; }));
     CHECK(fleet::is_suspected(engine, now));
-    CHECK(fleet::all_work(engine, now).in_flight == 2);
+    CHECK(fleet::total_work(engine, now).in_flight == 2);
     CHECK(readings() == 1);
 }
 
@@ -207,7 +208,7 @@
     }
 
     void greet(std::int64_t life) {
-        this->send(peering::hello{{"zz"}, {"a"}, life});
+        this->send(peering::handshake{{"zz"}, {"a"}, life});
         REQUIRE(this->world.run_until([this] {
             const auto linked = this->others.linked();
             return !linked.empty() && this->reads_all();
@@ -217,7 +218,7 @@
     // Whether what was sent has been read, by an answer to a question behind it.
     bool reads_all() {
         const auto before = this->heard.size();
-        this->send(peering::store_ask{1, 0});
+        this->send(peering::store_query{1, 0});
         return this->world.run_until([this, before] { return this->heard.size() > before; });
     }
 
@@ -299,11 +300,11 @@
     SECTION("a change of weights") {
         linked.tell_late(
             peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "loading", true}, late);
-        CHECK(engine.changing_until == written + base::milliseconds(1000));
+        CHECK(engine.weights_change_until == written + base::milliseconds(1000));
     }
     SECTION("a hold") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
-        linked.tell_late(peering::hold_report{request, base::minutes(1)}, late);
+        linked.tell_late(peering::quarantine_notice{request, base::minutes(1)}, late);
         const auto held =
             quarantine::held(linked.world.state.quarantine, linked.world.entry().now());
         REQUIRE(held.size() == 1);
@@ -311,7 +312,7 @@
     }
     SECTION("a hold that has ended meanwhile") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
-        linked.tell_late(peering::hold_report{request, base::milliseconds(500)}, late);
+        linked.tell_late(peering::quarantine_notice{request, base::milliseconds(500)}, late);
         REQUIRE(linked.told == 1);
         CHECK(quarantine::held(linked.world.state.quarantine, linked.world.entry().now()).empty());
     }
@@ -328,7 +329,7 @@
         each->add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     }
     const auto said_at = linked.world.entry().now();
-    proxy::note_says_leaving(other.entry(), {{"engine"}, {}}, "", other.entry().now());
+    proxy::record_drain_report(other.entry(), {{"engine"}, {}}, "", other.entry().now());
     for (auto* each : {&linked.world, &other}) {
         each->move_clock(base::minutes(1));
     }
@@ -336,10 +337,10 @@
     REQUIRE(told.size() == 1);
     linked.tell_late(told.at(0), base::milliseconds(late));
     const auto& engine = linked.world.state.fleet.members.at({"engine"});
-    REQUIRE(engine.says_leaving_since);
-    CHECK(*engine.says_leaving_since == said_at);
-    CHECK_FALSE(fleet::may_still_serve(engine, linked.world.entry().now(),
-                                       proxy::fleet_rules_of(linked.world.entry().settings)));
+    REQUIRE(engine.drain_reported_at);
+    CHECK(*engine.drain_reported_at == said_at);
+    CHECK_FALSE(fleet::may_serve_in_grace(engine, linked.world.entry().now(),
+                                          proxy::fleet_rules_of(linked.world.entry().settings)));
 }
 
 // Guards against words dated by an earlier life of their entry, or by when a new link was read.
@@ -362,7 +363,7 @@
     const base::instant written = linked.world.entry().now();
     const base::micros uptime = written - linked.other_started;
     linked.world.move_clock(base::milliseconds(300));
-    linked.send(peering::hello{{"zz"}, {"a"}, is_new_life ? 2 : 1}, uptime);
+    linked.send(peering::handshake{{"zz"}, {"a"}, is_new_life ? 2 : 1}, uptime);
     linked.send(
         peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "unreachable", false},
         uptime);
@@ -380,16 +381,16 @@
     linked.world.state.fleet.members.at({"engine"}).listed.models = {{model, 1}};
     auto& history = linked.world.state.weights[model];
     proxy::note_named(history, 2, {{}, {}, linked.world.entry().now()});
-    const auto last_question = [&]() -> const peering::store_ask* {
+    const auto last_question = [&]() -> const peering::store_query* {
         const auto* last = linked.heard.empty() ? nullptr : &linked.heard.back();
-        return last == nullptr ? nullptr : std::get_if<peering::store_ask>(last);
+        return last == nullptr ? nullptr : std::get_if<peering::store_query>(last);
     };
     REQUIRE(linked.tick_until([&] { return last_question() != nullptr; }));
     const auto asked_by = linked.world.entry().now();
-    const auto answer = [&](std::vector<peering::weights_named> named) {
+    const auto answer = [&](std::vector<peering::target_weights> named) {
         peering::store_view view;
-        view.number = last_question()->number;
-        view.named = std::move(named);
+        view.query_id = last_question()->query_id;
+        view.targets = std::move(named);
         linked.world.move_clock(base::seconds(5));
         linked.send(view);
     };
@@ -422,7 +423,7 @@
     CHECK_FALSE(told[1].age);
 
     SECTION("and nothing once that is long ago") {
-        linked.world.move_clock(proxy::longest_outdated(linked.world.entry().settings) +
+        linked.world.move_clock(proxy::max_outdated_weights_age(linked.world.entry().settings) +
                                 base::seconds(1));
         CHECK(proxy::named_weights_to_tell(linked.world.entry()).empty());
     }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -59,11 +59,11 @@
           },
           [this](const base::upstream_instance& upstream, const base::model_id& model,
                  std::int64_t version) {
-              note_weights(this->context, upstream, model, version);
-              this->others.tell(peering::weights_held{upstream, model, version});
+              record_weights(this->context, upstream, model, version);
+              this->others.tell(peering::loaded_weights{upstream, model, version});
           },
           [this](const base::upstream_instance& upstream) {
-              this->others.tell(peering::upstream_leaving{upstream});
+              this->others.tell(peering::upstream_draining{upstream});
           },
           [this](const broken_attempt& broken) { this->crashes.note_broken(broken); }},
       platform_calls(std::make_shared<adapters::platform_budget>()),
@@ -194,22 +194,23 @@
     this->store.changed = take_news("store");
     this->news.changed = take_news("entry");
     this->others.store_changed = take_news("entry_asked");
-    this->others.weights_changed = [this](const peering::weights_held& told) {
-        note_weights(this->context, told.upstream, told.model, told.version);
+    this->others.weights_changed = [this](const peering::loaded_weights& told) {
+        record_weights(this->context, told.upstream, told.model, told.version);
     };
     this->others.named_weights_told = [this](const base::entry_id& from,
-                                             const std::vector<peering::weights_named>& told,
+                                             const std::vector<peering::target_weights>& told,
                                              base::instant asked_at) {
         if (take_told_weights(this->context, from, told, asked_at)) {
             this->renew_begin_deadlines();
         }
     };
-    this->others.kept_told = [this](const base::entry_id& from, const peering::kept_parts& told) {
+    this->others.kept_told = [this](const base::entry_id& from,
+                                    const peering::kv_store_contents& told) {
         this->kv_stores.take(from, told);
     };
     this->others.greeting = [this] { return this->greeting(); };
     this->connect_quarantine();
-    this->kv_stores.tell = [this](const peering::kept_parts& message) {
+    this->kv_stores.tell = [this](const peering::kv_store_contents& message) {
         this->others.tell(message);
     };
     this->others.count_changed = [this] { this->set_retry_budgets(); };
@@ -235,8 +236,8 @@
                                      base::instant written) {
         this->crashes.take(from, told, written);
     };
-    this->others.hold_told = [this](const base::entry_id& from, const peering::hold_report& told,
-                                    base::instant written) {
+    this->others.hold_told = [this](const base::entry_id& from,
+                                    const peering::quarantine_notice& told, base::instant written) {
         this->crashes.take(from, told, written);
     };
 }
@@ -255,7 +256,7 @@
 bool proxy::ready() const {
     // A list entry may name a pool that no configuration knows.
     const auto& members = this->state.fleet.members;
-    return !this->state.stopping && is_fresh(this->context) &&
+    return !this->state.stopping && is_config_fresh(this->context) &&
            std::any_of(members.begin(), members.end(), [this](const auto& each) {
                return this->state.config->pools.count(each.second.listed.pool) > 0;
            });
@@ -299,8 +300,8 @@
     this->assign_lanes();
     this->leader.tick();
     this->loader.tick();
-    for (const auto& id : fleet::drop_missing(this->state.fleet, this->context.now(),
-                                              fleet_rules_of(this->settings))) {
+    for (const auto& id : fleet::prune_unlisted(this->state.fleet, this->context.now(),
+                                                fleet_rules_of(this->settings))) {
         this->log.line(importance::keep, "upstream_gone").text("upstream", id.value);
     }
     if (read_file(this->settings_file) != this->settings_text) {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -29,7 +29,7 @@
 
 // What the daemon is given of the platform it runs on.
 struct proxy_platform {
-    ports::dialect words;
+    ports::platform_codec words;
     std::function<ports::platform(event_base*, const std::string& address,
                                   base::milliseconds timeout)>
         make_store;
--- a/src/proxy/proxy_beliefs.cpp
+++ b/src/proxy/proxy_beliefs.cpp
@@ -52,7 +52,7 @@
     if (found == this->state.store.items.end()) {
         return;
     }
-    auto read = this->platform.words.read_config(found->second.value);
+    auto read = this->platform.words.parse_config(found->second.value);
     if (!read.has_value()) {
         // The one in force stays: half a configuration would refuse callers that are allowed.
         this->log.line(importance::keep, "config_unreadable")
@@ -105,7 +105,7 @@
     if (this->state.config == nullptr) {
         return;
     }
-    const auto entries = static_cast<double>(std::max<std::int64_t>(this->state.entries, 1));
+    const auto entries = static_cast<double>(std::max<std::int64_t>(this->state.entry_count, 1));
     for (const auto& [id, pool] : this->state.config->pools) {
         auto& window = this->state.retries[id];
         window.more = std::max(1.0, this->settings.bounds.retry_slack * retry_share / entries);
@@ -115,9 +115,9 @@
 
 void proxy::take_upstreams(const char* told_by) {
     const auto list = read_upstream_list(this->state.store, this->platform.words);
-    const auto change = fleet::take_list(this->state.fleet, list.upstreams, this->context.now());
+    const auto change = fleet::apply_list(this->state.fleet, list.upstreams, this->context.now());
     for (const auto& [id, revision] : list.unreadable) {
-        fleet::withdraw(this->state.fleet, id);
+        fleet::mark_replaced(this->state.fleet, id);
         // Said once for each entry that can't be read, however often the list is read again.
         if (const auto said = this->unreadable.find(id);
             said == this->unreadable.end() || said->second != revision) {
@@ -128,7 +128,7 @@
     }
     this->unreadable = list.unreadable;
     for (const auto& [id, by] : list.replaced) {
-        fleet::withdraw(this->state.fleet, id);
+        fleet::mark_replaced(this->state.fleet, id);
         this->connections.forget(id);
         if (this->replaced.count(id) == 0) {
             this->log.line(importance::keep, "upstream_replaced")
@@ -147,7 +147,7 @@
                 .text("upstream", id.value)
                 .text("pool", one.listed.pool.value)
                 .text("address", one.listed.address)
-                .flag("leaving", one.listed.leaving)
+                .flag("leaving", one.listed.draining)
                 .number("incarnation", one.listed.incarnation.value)
                 .number("weights", one.listed.models.empty() ? 0 : one.listed.models[0].second)
                 .number("revision", this->state.store.revision)
@@ -159,10 +159,10 @@
     tell("upstream_unlisted", change.removed);
     for (const auto& id : change.restarted) {
         const auto& one = this->state.fleet.members.at(id);
-        this->crashes.note_ended({id, one.earlier_lives.back()});
-        forget_earlier_life(this->context, fleet::instance_of(one));
+        this->crashes.note_ended({id, one.previous_incarnations.back()});
+        discard_previous_incarnation(this->context, fleet::instance_of(one));
     }
-    for (const auto& id : change.reweighted) {
+    for (const auto& id : change.weights_changed) {
         kvcache::forget_reader(this->state.cache, id);
     }
     for (const auto& id : change.removed) {
--- a/src/proxy/proxy_status.cpp
+++ b/src/proxy/proxy_status.cpp
@@ -11,8 +11,8 @@
         upstreams.push_back({{"id", id.value},
                              {"pool", one.listed.pool.value},
                              {"address", one.listed.address},
-                             {"fit", fleet::is_fit(one, this->context.now())},
-                             {"in_flight", one.ours.in_flight}});
+                             {"fit", fleet::is_eligible(one, this->context.now())},
+                             {"in_flight", one.local_work.in_flight}});
     }
     nlohmann::json held = nlohmann::json::array();
     for (const auto& one : quarantine::held(this->state.quarantine, this->context.now())) {
@@ -35,7 +35,7 @@
     double holding_older = 0;
     for (const auto& [model, history] : this->state.weights) {
         for (const auto& [id, one] : this->state.fleet.members) {
-            const std::int64_t held = fleet::weights_of(one, model);
+            const std::int64_t held = fleet::weights_version_of(one, model);
             holding_newest += held > 0 && held >= newest(history) ? 1 : 0;
             holding_older += held > 0 && held < newest(history) ? 1 : 0;
         }
@@ -91,7 +91,7 @@
     this->show_quotas();
     std::int64_t fit = 0;
     for (const auto& [id, one] : this->state.fleet.members) {
-        fit += fleet::is_fit(one, this->context.now()) ? 1 : 0;
+        fit += fleet::is_eligible(one, this->context.now()) ? 1 : 0;
     }
     this->metrics.set("camphorrail_upstreams", static_cast<double>(fit), {{"state", "fit"}});
     this->metrics.set("camphorrail_upstreams",
--- a/src/proxy/quarantine_records.cpp
+++ b/src/proxy/quarantine_records.cpp
@@ -45,7 +45,7 @@
     : context(context), platform(std::move(platform_calls)), leads(std::move(is_leader)) {}
 
 std::string quarantine_records::prefix() const {
-    return this->context.words.own_prefix + "quarantine/";
+    return this->context.codec.own_prefix + "quarantine/";
 }
 
 void quarantine_records::keep(const quarantine::hold& begun) {
@@ -98,7 +98,7 @@
         return;
     }
     ports::transaction change;
-    change.expectations = {{key, 0}};
+    change.preconditions = {{key, 0}};
     change.writes = {{key, to_text(next->second), false, 0}};
     this->commit(change);
 }
@@ -109,7 +109,7 @@
             continue;
         }
         ports::transaction change;
-        change.expectations = {{item.key, item.mod_revision}};
+        change.preconditions = {{item.key, item.mod_revision}};
         change.writes = {{item.key, "", true, 0}};
         this->commit(change);
         return;
@@ -119,7 +119,7 @@
 void quarantine_records::commit(const ports::transaction& change) {
     this->calling = true;
     const base::request_digest digest{change.writes.front().key.substr(this->prefix().size())};
-    this->platform.commit(change, [this, digest](const base::result<ports::committed>& done) {
+    this->platform.commit(change, [this, digest](const base::result<ports::commit_result>& done) {
         this->calling = false;
         this->next_call = this->context.now() + call_pause;
         if (done.has_value()) {
--- a/src/proxy/quarantine_records_tests.cpp
+++ b/src/proxy/quarantine_records_tests.cpp
@@ -21,13 +21,13 @@
                 done(base::code::platform_unreachable);
                 return;
             }
-            done(ports::committed{this->apply(change), this->mirror.revision});
+            done(ports::commit_result{this->apply(change), this->mirror.revision});
         };
         return made;
     }
 
     bool apply(const ports::transaction& change) {
-        for (const auto& each : change.expectations) {
+        for (const auto& each : change.preconditions) {
             const auto found = this->mirror.items.find(each.key);
             const auto there = found == this->mirror.items.end() ? 0 : found->second.mod_revision;
             if (there != each.mod_revision) {
--- a/src/proxy/request_answers.cpp
+++ b/src/proxy/request_answers.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 bool request_flow::started(const http::response_head& head) {
-    const auto answer = this->context.words.read_answer(head);
+    const auto answer = this->context.codec.parse_response(head);
     if (answer.request_id != this->facts.request_id) {
         // An upstream may send a second answer to an earlier request; ours is still to come.
         this->context.log.line(importance::keep, "foreign_answer_dropped")
@@ -50,8 +50,8 @@
 void request_flow::note_what_it_says() {
     const auto& answer = this->current->facts;
     const auto upstream = instance_of(this->current->choice);
-    if (answer.leaving && note_says_leaving(this->context, upstream, "", this->context.now())) {
-        this->context.tell_leaving(upstream);
+    if (answer.draining && record_drain_report(this->context, upstream, "", this->context.now())) {
+        this->context.broadcast_drain(upstream);
     }
     if (answer.pause) {
         this->context.log.line(importance::keep, "upstream_wants_pause")
@@ -59,7 +59,7 @@
             .text("upstream", upstream.id.value)
             .span("pause_ms", *answer.pause);
         if (auto* one = this->member_of_attempt()) {
-            fleet::note_pause(*one, *answer.pause, this->context.now());
+            fleet::record_pause(*one, *answer.pause, this->context.now());
         }
     }
 }
@@ -67,7 +67,7 @@
 void request_flow::note_heard() {
     this->last_progress = this->context.now();
     if (auto* one = this->member_of_attempt()) {
-        one->heard_at = this->last_progress;
+        one->last_byte_at = this->last_progress;
     }
 }
 
@@ -111,7 +111,7 @@
     this->current->begun = true;
     this->current->begun_at = this->context.now();
     if (auto* one = this->member_of_attempt()) {
-        fleet::note_begun(one->ours, this->work_of_attempt());
+        fleet::note_begun(one->local_work, this->work_of_attempt());
     }
     this->note_prompt_read();
     if (!this->first_byte) {
@@ -136,7 +136,7 @@
 latency::first_byte_sample request_flow::shown_by_attempt() const {
     const auto& choice = this->current->choice;
     const auto* one = this->member_of_attempt();
-    if (one == nullptr || one->changing_until > this->current->sent_at) {
+    if (one == nullptr || one->weights_change_until > this->current->sent_at) {
         return {};
     }
     const std::chrono::duration<double, std::milli> taken =
@@ -165,8 +165,8 @@
     read.by = instance_of(choice);
     read.saved = !choice.save_to.empty();
     read.shown = this->shown_by_attempt();
-    proxy::note_prompt_read(this->context, read);
-    this->context.state.untold_reads.push_back(std::move(read));
+    proxy::record_prompt_read(this->context, read);
+    this->context.state.unreported_reads.push_back(std::move(read));
 }
 
 void request_flow::ended() {
@@ -184,7 +184,7 @@
     }
     if (this->state == answer_state::streaming) {
         const int status = this->current->head.status;
-        note_upstream_success(this->context, instance_of(this->current->choice));
+        record_upstream_success(this->context, instance_of(this->current->choice));
         this->leave_attempt();
         this->exchange->finish();
         this->finish("ok", status);
@@ -205,7 +205,7 @@
         .flag("answer_begun", this->current->answering)
         .text("last_event", this->events.last_event)
         .span("after_ms", this->context.now() - this->current->sent_at);
-    note_upstream_error(this->context, upstream);
+    record_upstream_error(this->context, upstream);
     this->leave_attempt();
     this->wanted.tried.push_back(upstream.id);
     this->send_again_or_end("upstream_error");
@@ -218,9 +218,9 @@
     const auto upstream = instance_of(this->current->choice);
     const bool in_time = this->time_left() > least_time;
     if (error && in_time) {
-        note_upstream_error(this->context, upstream);
+        record_upstream_error(this->context, upstream);
     } else if (!error) {
-        note_upstream_success(this->context, upstream);
+        record_upstream_success(this->context, upstream);
     }
     if (error && this->request.route->kind == routes::request_kind::idempotent &&
         this->may_send_again() && this->take_retry()) {
@@ -251,14 +251,14 @@
                                    this->context.now() + (changing ? loading_pause : full_pause));
     }
     if (has_room && !outdated && !this->current->facts.pause) {
-        note_upstream_failure(this->context, instance_of(choice), "refuses_with_room");
+        record_upstream_failure(this->context, instance_of(choice), "refuses_with_room");
     }
     this->context.log.line(importance::keep, "refused_by_upstream")
         .text("request", this->facts.request_id)
         .text("upstream", choice.id.value)
         .number("status", this->current->head.status)
         .number("weights_expected", choice.weights)
-        .number("weights_there", this->current->facts.weights.value_or(0))
+        .number("weights_there", this->current->facts.weights_version.value_or(0))
         .number("running", load ? load->running : -1)
         .number("waiting", load ? load->waiting : -1);
     this->wanted.tried.push_back(choice.id);
--- a/src/proxy/request_failures.cpp
+++ b/src/proxy/request_failures.cpp
@@ -48,7 +48,7 @@
     const auto* one = this->member_of_attempt();
     const auto sent = this->current->sent_at;
     return {this->context.now(), this->silence_due,
-            one == nullptr ? sent : std::max(one->heard_at, sent), this->last_progress,
+            one == nullptr ? sent : std::max(one->last_byte_at, sent), this->last_progress,
             this->state == answer_state::streaming};
 }
 
@@ -68,11 +68,11 @@
         .text("digest", may_have_run ? this->identity().digest.value : "");
     // An upstream that changes its weights cuts off what it can't finish, as ordered.
     const auto* one = this->member_of_attempt();
-    const bool ordered =
-        why == call_failure::broken && one != nullptr && one->changing_until > this->context.now();
+    const bool ordered = why == call_failure::broken && one != nullptr &&
+                         one->weights_change_until > this->context.now();
     const bool upstreams_fault = why != call_failure::taken_back && !ordered;
     if (upstreams_fault) {
-        note_upstream_failure(this->context, upstream, name);
+        record_upstream_failure(this->context, upstream, name);
     }
     if (may_have_run && !ordered) {
         this->note_broken_attempt();
@@ -88,7 +88,7 @@
     ++this->unreachable;
     if (upstreams_fault) {
         // A connection that can't be made says more than an answer that fails.
-        note_upstream_failure(this->context, upstream, name);
+        record_upstream_failure(this->context, upstream, name);
     }
     if (this->unreachable < most_unreachable) {
         this->send_attempt();
@@ -100,7 +100,7 @@
 void request_flow::note_broken_attempt() {
     const auto* one = this->member_of_attempt();
     // One that leaves ends as it said it would.
-    if (one == nullptr || !fleet::is_listed(*one)) {
+    if (one == nullptr || !fleet::is_available(*one)) {
         return;
     }
     const auto& attempt = *this->current;
@@ -108,7 +108,7 @@
     if (attempt.begun) {
         victim.begun_at = attempt.begun_at;
     }
-    this->context.note_broken_attempt(
+    this->context.record_broken_attempt(
         {instance_of(attempt.choice), attempt.choice.address, std::move(victim)});
 }
 
@@ -162,10 +162,10 @@
     if (this->state == answer_state::streaming) {
         this->end_without_answer(why);
     } else if (this->begun == 0) {
-        this->refuse(unrun, base::ran::not_run,
+        this->refuse(unrun, base::execution_state::not_run,
                      hint ? *hint : when_free(this->context, this->wanted.pool));
     } else {
-        this->refuse(begun_code, base::ran::unknown, milliseconds(0));
+        this->refuse(begun_code, base::execution_state::unknown, milliseconds(0));
     }
 }
 
@@ -189,7 +189,7 @@
     }
     if (verdict == silence::of_upstream && !this->current->suspected) {
         this->current->suspected = true;
-        note_upstream_failure(this->context, instance_of(this->current->choice), "silent");
+        record_upstream_failure(this->context, instance_of(this->current->choice), "silent");
     }
     const bool last_attempt = this->begun + 1 >= route.attempts;
     if (last_attempt || !this->may_send_again()) {
