--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -18,14 +18,15 @@
 // For routes without a timeout, from callers without a deadline.
 constexpr milliseconds default_limit{60000};
 
-std::uint64_t number_of(const ports::caller_request& facts) {
-    const bool shares = facts.parts.size() > 1;
-    return base::stable_hash(shares ? facts.parts[facts.parts.size() - 2].id : facts.request_id);
+std::uint64_t number_of(const ports::client_request& facts) {
+    const bool shares = facts.prompt_parts.size() > 1;
+    return base::stable_hash(shares ? facts.prompt_parts[facts.prompt_parts.size() - 2].id
+                                    : facts.request_id);
 }
 
-std::int64_t prompt_tokens(const ports::caller_request& facts) {
+std::int64_t prompt_tokens(const ports::client_request& facts) {
     return std::accumulate(
-        facts.parts.begin(), facts.parts.end(), std::int64_t{0},
+        facts.prompt_parts.begin(), facts.prompt_parts.end(), std::int64_t{0},
         [](std::int64_t sum, const auto& part) { return sum + part.size.value; });
 }
 
@@ -62,20 +63,21 @@
             flow->caller_caught_up();
         }
     });
-    auto read = this->context.words.read_request(this->exchange->head);
+    auto read = this->context.codec.parse_request(this->exchange->head);
     if (!read.has_value()) {
-        this->refuse(base::to_code(read.error()), base::ran::not_run, milliseconds(0));
+        this->refuse(base::to_code(read.error()), base::execution_state::not_run, milliseconds(0));
         return;
     }
     this->facts = std::move(read.value());
     const auto admission = admit({this->context.state.config,
                                   mirror::age(this->context.state.store, this->context.now()),
-                                  longest_config_age(this->context.settings)},
+                                  max_config_age(this->context.settings)},
                                  this->exchange->head, this->facts);
     if (!admission.has_value()) {
         const auto number = base::to_code(admission.error());
         const bool come_back = number == base::code::not_ready;
-        this->refuse(number, base::ran::not_run, come_back ? other_entry : milliseconds(0));
+        this->refuse(number, base::execution_state::not_run,
+                     come_back ? other_entry : milliseconds(0));
         return;
     }
     this->request = admission.value();
@@ -112,8 +114,8 @@
     constexpr base::milliseconds listed{-1};
     const auto& members = this->context.state.fleet.members;
     const auto found = members.find(id);
-    const bool missing = found != members.end() && found->second.missing_since;
-    return missing ? this->context.now() - *found->second.missing_since : base::micros(listed);
+    const bool missing = found != members.end() && found->second.unlisted_since;
+    return missing ? this->context.now() - *found->second.unlisted_since : base::micros(listed);
 }
 
 const char* request_flow::kind_name() const {
@@ -135,7 +137,7 @@
     return fleet::find_instance(this->context.state.fleet, instance_of(this->current->choice));
 }
 
-void request_flow::refuse(base::code number, base::ran ran, milliseconds retry_after) {
+void request_flow::refuse(base::code number, base::execution_state ran, milliseconds retry_after) {
     if (this->error_answer) {
         // An upstream's own error says more than ours.
         const whole_answer kept = std::move(*this->error_answer);
@@ -164,9 +166,9 @@
                                 {{"code", std::string(base::describe(number).name)},
                                  {"ran", std::string(base::to_string(ran))}});
     const process::problem problem{number, ran, retry_after, ""};
-    this->exchange->answer(status,
-                           this->context.words.refusal_fields(this->facts.request_id, retry_after),
-                           process::to_json(problem) + "\n");
+    this->exchange->answer(
+        status, this->context.codec.make_refusal_fields(this->facts.request_id, retry_after),
+        process::to_json(problem) + "\n");
     this->finish("refused", status);
 }
 
--- a/src/proxy/request_flow.h
+++ b/src/proxy/request_flow.h
@@ -41,7 +41,7 @@
         upstream_choice choice;
         connection_ptr connection;
         base::instant sent_at;
-        ports::answer_facts facts;
+        ports::response_metadata facts;
         http::response_head head;
         bool answering = false;
         // Its first byte has come.
@@ -76,12 +76,12 @@
     bool admit_prompt(const upstream_choice& choice);
     void refuse_in_overload(const upstream_choice& choice);
     void send_to(upstream_choice choice);
-    [[nodiscard]] std::string request_bytes(const ports::attempt_terms& terms) const;
-    void log_sent(const upstream_choice& choice, const ports::attempt_terms& terms);
+    [[nodiscard]] std::string request_bytes(const ports::attempt_parameters& terms) const;
+    void log_sent(const upstream_choice& choice, const ports::attempt_parameters& terms);
     void begin_attempt(upstream_choice choice);
     void count_prompt_placed();
     void call_upstream(std::string bytes);
-    [[nodiscard]] ports::attempt_terms terms_of(const upstream_choice& choice) const;
+    [[nodiscard]] ports::attempt_parameters terms_of(const upstream_choice& choice) const;
     bool started(const http::response_head& head);
     void received(std::string bytes);
     void ended();
@@ -119,7 +119,7 @@
     void note_prompt_sent();
     void leave_attempt();
     void cancel_attempt();
-    void refuse(base::code number, base::ran ran, base::milliseconds retry_after);
+    void refuse(base::code number, base::execution_state ran, base::milliseconds retry_after);
     void end_without_answer(const char* why);
     void finish(const char* outcome, int status);
 
@@ -136,7 +136,7 @@
     exchange_ptr exchange;
     // Worked out where it is needed.
     std::optional<quarantine::request_identity> known_identity;
-    ports::caller_request facts;
+    ports::client_request facts;
     admitted request;
     choice_request wanted;
     // What its team's quota was charged with; nothing where it has none.
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -255,7 +255,7 @@
     world.add_engine("i-1", script);
     world.add_engine("i-2", script);
     for (auto& [id, one] : world.state.fleet.members) {
-        one.changing_until = world.entry().now() + base::seconds(20);
+        one.weights_change_until = world.entry().now() + base::seconds(20);
     }
     for (int each = 0; each < 4; ++each) {
         first = true;
@@ -434,14 +434,14 @@
     prompt_world world(one_event);
     CHECK(world.call(prompt("stream", "r1")).heads.at(0).status == 200);
     // The engine has shown itself to be as fast as engines can be.
-    world.upstream().ours.unread_tokens = 200000;
+    world.upstream().local_work.unread_tokens = 200000;
     const auto seen = world.call(prompt("stream", "r2"));
     CHECK(seen.heads.at(0).status == 429);
     CHECK(std::stod(std::string(http::value_of(seen.heads.at(0).all, "Retry-After"))) > 0.5);
     CHECK(world.engine.requests.size() == 1);
 
     SECTION("and served when it does") {
-        world.upstream().ours.unread_tokens = 0;
+        world.upstream().local_work.unread_tokens = 0;
         CHECK(world.call(prompt("stream", "r3")).heads.at(0).status == 200);
     }
 }
@@ -453,7 +453,7 @@
     prompt_world world(one_event);
     constexpr std::int64_t prompt_tokens = 9190;
     // A wait of three quarters of the target, and less than half of it to read.
-    world.upstream().ours.unread_tokens = 15000;
+    world.upstream().local_work.unread_tokens = 15000;
     auto& record = world.state.prompt_sizes["stream"];
     for (int small = 0; small < 40; ++small) {
         record.prompts.push_back({prompt_tokens / 4, true});
@@ -483,8 +483,8 @@
     // The list changes as soon as the request has been given to one of them.
     world.entry().now = [&, clock = world.entry().now] {
         for (auto& [id, one] : world.state.fleet.members) {
-            if (left.empty() && one.ours.in_flight == 1) {
-                one.listed.leaving = true;
+            if (left.empty() && one.local_work.in_flight == 1) {
+                one.listed.draining = true;
                 left = id.value;
             }
         }
@@ -506,7 +506,7 @@
     prompt_world world([&](const engine_request& got) {
         const std::string id = got.field("Request-Id");
         if (++asked == 1) {
-            entry->upstream().ours.unread_tokens += 60000;
+            entry->upstream().local_work.unread_tokens += 60000;
             return engine_script{send(tests::stream_head(id)), send(tests::chunk(events(1, 3))),
                                  close_it};
         }
@@ -517,7 +517,7 @@
     auto& second = world.state.fleet.members[{"i-2"}];
     second = world.upstream();
     second.listed.id = {"i-2"};
-    second.ours.unread_tokens = 30000;
+    second.local_work.unread_tokens = 30000;
     const auto seen = world.call(prompt("resume", "r1"));
     CHECK(asked == 2);
     CHECK(seen.bodies.at(0) == events(1, 5));
@@ -529,7 +529,7 @@
 // on weights that may not be used any more; so the call is taken back before.
 TEST_CASE("nothing begins on weights that are outdated for too long", "[proxy][flow]") {
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
-    const auto longest = proxy::longest_outdated(world.entry().settings);
+    const auto longest = proxy::max_outdated_weights_age(world.entry().settings);
     const auto named = world.entry().now() - longest + base::milliseconds(50);
     proxy::note_named(world.state.weights[{"desk-8b"}], 2, {named, {}, named});
     const auto seen = world.call(prompt("stream", "r1"));
@@ -557,7 +557,7 @@
 TEST_CASE("a request that waits while newer weights are named does not begin too late",
           "[proxy][flow]") {
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
-    const auto longest = proxy::longest_outdated(world.entry().settings);
+    const auto longest = proxy::max_outdated_weights_age(world.entry().settings);
     base::instant named{};
     world.call_until(prompt("stream", "r1"), [&] {
         if (named == base::instant{} && !world.engine.requests.empty()) {
@@ -632,7 +632,7 @@
     }
     SECTION("and none is sent") {
         world.state.store.proved_at = seen_long_ago();
-        const ports::caller_request facts{.request_id = "r1", .model = {"desk-8b"}};
+        const ports::client_request facts{.request_id = "r1", .model = {"desk-8b"}};
         CHECK_FALSE(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &facts}));
         world.prove_config();
         CHECK(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &facts}));
@@ -650,8 +650,8 @@
     auto& one = world.state.fleet.members.at({"i-1"});
     one.listed.incarnation = {100};
     const auto start_again = [&](std::int64_t incarnation) {
-        fleet::begin_life(one, {incarnation});
-        proxy::forget_earlier_life(world.entry(), fleet::instance_of(one));
+        fleet::start_incarnation(one, {incarnation});
+        proxy::discard_previous_incarnation(world.entry(), fleet::instance_of(one));
     };
     start_again(101);
     world.call(tests::request("once", "r2"));
@@ -659,7 +659,7 @@
 
     SECTION("neither its failure, nor that it has ended") {
         world.add_engine("i-2", [&](const engine_request&) {
-            fleet::begin_life(world.state.fleet.members.at({"i-2"}), {6});
+            fleet::start_incarnation(world.state.fleet.members.at({"i-2"}), {6});
             return engine_script{reset_it};
         });
         one.busy_until = world.entry().now() + base::seconds(9);
@@ -667,6 +667,6 @@
         CHECK(seen.heads.at(0).status == 502);
         const auto& second = world.state.fleet.members.at({"i-2"});
         CHECK(second.health.failures_in_row == 0);
-        CHECK(second.ours.in_flight == 0);
+        CHECK(second.local_work.in_flight == 0);
     }
 }
--- a/src/proxy/request_quarantine.cpp
+++ b/src/proxy/request_quarantine.cpp
@@ -17,7 +17,7 @@
 const quarantine::request_identity& request_flow::identity() {
     if (!this->known_identity) {
         const std::string_view caller =
-            this->request.team == nullptr ? this->facts.key : this->request.team->id.value;
+            this->request.team == nullptr ? this->facts.bearer_key : this->request.team->id.value;
         this->known_identity =
             quarantine::identify({this->exchange->head.target, caller, this->exchange->body});
     }
--- a/src/proxy/request_quota.cpp
+++ b/src/proxy/request_quota.cpp
@@ -9,11 +9,11 @@
 using adapters::importance;
 using base::milliseconds;
 
-quota::units cost_of(const routes::team_quota& limit, const ports::caller_request& facts) {
+quota::units cost_of(const routes::team_quota& limit, const ports::client_request& facts) {
     if (limit.unit == routes::quota_unit::requests) {
         return {1};
     }
-    return {facts.tokens.value_or(limit.plain_tokens)};
+    return {facts.max_total_tokens.value_or(limit.plain_tokens)};
 }
 
 } // namespace
@@ -42,7 +42,7 @@
         .number("share_in_1000", static_cast<std::int64_t>(1000.0 * taken.share))
         .number("config_version", this->request.config->version);
     this->context.metrics.count("camphorrail_quota_refusals_total", {{"team", team->id.value}});
-    this->refuse(base::code::quota_spent, base::ran::not_run,
+    this->refuse(base::code::quota_spent, base::execution_state::not_run,
                  std::chrono::ceil<milliseconds>(taken.retry_after));
     return true;
 }
--- a/src/proxy/request_sending.cpp
+++ b/src/proxy/request_sending.cpp
@@ -88,21 +88,21 @@
         .number("expected_first_byte_ms", static_cast<std::int64_t>(choice.first_byte_ms))
         .number("target_ms", this->wanted.target.count())
         .number("unread_there", choice.unread_there);
-    this->refuse(base::code::overloaded, base::ran::not_run,
+    this->refuse(base::code::overloaded, base::execution_state::not_run,
                  kvcache::come_back_after(base::stable_hash(this->facts.request_id)));
 }
 
-ports::attempt_terms request_flow::terms_of(const upstream_choice& choice) const {
-    ports::attempt_terms terms;
-    terms.instance = choice.id;
+ports::attempt_parameters request_flow::terms_of(const upstream_choice& choice) const {
+    ports::attempt_parameters terms;
+    terms.expected_instance = choice.id;
     terms.team = this->request.team == nullptr ? base::team_id{} : this->request.team->id;
     terms.time_left = this->time_left() - hop;
     terms.priority = rank_of(this->request);
     terms.cache_salt = choice.cache_salt;
     terms.fetch_from = choice.fetch_from;
     terms.save_to = choice.save_to;
-    terms.weights = choice.weights;
-    terms.last_event = this->events.last_event;
+    terms.required_weights = choice.weights;
+    terms.last_event_id = this->events.last_event;
     return terms;
 }
 
@@ -116,17 +116,17 @@
 }
 
 // The request as its upstream gets it.
-std::string request_flow::request_bytes(const ports::attempt_terms& terms) const {
+std::string request_flow::request_bytes(const ports::attempt_parameters& terms) const {
     const auto& head = this->exchange->head;
     const bool has_body = !this->exchange->body.empty() || http::has(head.all, "Content-Length") ||
                           http::has(head.all, "Transfer-Encoding");
     const std::string written = http::write_request_head(
-        head.method, head.target, this->context.words.attempt_fields(head, terms),
+        head.method, head.target, this->context.codec.make_attempt_fields(head, terms),
         {has_body ? http::framing::length : http::framing::none, this->exchange->body.size()});
     return written + this->exchange->body;
 }
 
-void request_flow::log_sent(const upstream_choice& choice, const ports::attempt_terms& terms) {
+void request_flow::log_sent(const upstream_choice& choice, const ports::attempt_parameters& terms) {
     this->context.log.line(importance::routine, "sent")
         .text("request", this->facts.request_id)
         .text("route", this->request.route->name)
@@ -163,8 +163,8 @@
     this->current->connection = this->context.connections.take(
         sent.id, sent.address, once ? base::micros(once_longest_idle) : any_longest_idle);
     if (auto* one = this->member_of_attempt()) {
-        this->current->last_resort = !fleet::is_listed(*one);
-        fleet::begin_work(one->ours, this->work_of_attempt());
+        this->current->last_resort = !fleet::is_available(*one);
+        fleet::begin_work(one->local_work, this->work_of_attempt());
     }
     if (this->wanted.suspect) {
         this->current->trial = true;
@@ -251,9 +251,9 @@
         return false;
     }
     if (this->current->last_resort) {
-        return fleet::may_still_serve(*one, now, fleet_rules_of(this->context.settings));
+        return fleet::may_serve_in_grace(*one, now, fleet_rules_of(this->context.settings));
     }
-    return fleet::is_listed(*one);
+    return fleet::is_available(*one);
 }
 
 // Notes what the request will have the upstream hold, and what it takes of a store's link.
@@ -262,11 +262,11 @@
     auto& state = this->context.state;
     if (sent.chain.shared_tokens() >= kvcache::least_tracked_tokens) {
         kvcache::note_sent(state.cache, sent.id, sent.chain, sent.weights,
-                           engine_room(state, instance_of(sent)));
+                           engine_capacity_tokens(state, instance_of(sent)));
     }
     for (const auto& [store, ms] : sent.transfers) {
-        kvcache::note_transfer(state.kept[store], ms, this->context.now());
-        state.untold_transfers[store] += ms;
+        kvcache::note_transfer(state.stored_prompts[store], ms, this->context.now());
+        state.unreported_transfers[store] += ms;
     }
 }
 
@@ -283,7 +283,7 @@
     this->weights_timer.clear();
     auto* one = this->member_of_attempt();
     if (one != nullptr) {
-        fleet::end_work(one->ours, this->work_of_attempt(), this->current->begun);
+        fleet::end_work(one->local_work, this->work_of_attempt(), this->current->begun);
     }
     if (this->current->trial) {
         quarantine::end_trial(this->context.state.quarantine, this->identity().digest);
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -85,7 +85,7 @@
     peering::store_changes told{revision_before, {}, std::move(*since)};
     for (auto& each : told.changes.items) {
         if (each.item.value.size() > most_told_bytes) {
-            told.large.insert(each.item.key);
+            told.omitted_keys.insert(each.item.key);
             each.item.value.clear();
         }
     }
@@ -118,7 +118,7 @@
     this->platform.watch(all_keys, this->context.state.store.revision, watch_wait,
                          [this, mine](base::result<ports::changes> told) {
                              const bool answered = told.has_value();
-                             const bool forgotten = answered && told.value().forgotten;
+                             const bool forgotten = answered && told.value().compacted;
                              if (answered && !forgotten) {
                                  auto& store = this->context.state.store;
                                  const std::int64_t before = store.revision;
@@ -140,22 +140,22 @@
     ports::transaction check;
     const auto& items = this->context.state.store.items;
     const auto expect = [&check](const ports::stored_value& item) {
-        check.expectations.push_back({item.key, item.mod_revision});
+        check.preconditions.push_back({item.key, item.mod_revision});
     };
-    const auto config = items.find(this->context.words.operators_config_key);
+    const auto config = items.find(this->context.codec.operators_config_key);
     if (config != items.end()) {
         expect(config->second);
     } else {
         // Before the first configuration its absence is what is proved.
-        check.expectations.push_back({this->context.words.operators_config_key, 0});
+        check.preconditions.push_back({this->context.codec.operators_config_key, 0});
     }
-    for (const auto& item :
-         mirror::items_below(this->context.state.store, this->context.words.named_weights_prefix)) {
+    for (const auto& item : mirror::items_below(this->context.state.store,
+                                                this->context.codec.target_weights_prefix)) {
         expect(item);
     }
     for (const auto& key : this->unnamed_weights()) {
-        if (check.expectations.size() < most_expectations) {
-            check.expectations.push_back({key, 0});
+        if (check.preconditions.size() < most_expectations) {
+            check.preconditions.push_back({key, 0});
         }
     }
     return check;
@@ -168,7 +168,7 @@
     std::set<std::string> keys;
     for (const auto& [id, one] : this->context.state.fleet.members) {
         for (const auto& [model, version] : one.listed.models) {
-            const std::string key = this->context.words.named_weights_prefix + model.value;
+            const std::string key = this->context.codec.target_weights_prefix + model.value;
             // The names come from upstreams, and one that no key can hold must fail no proof.
             const bool may_be_named = key.size() <= longest_key_bytes;
             if (may_be_named && this->context.state.store.items.count(key) == 0) {
@@ -182,7 +182,7 @@
 void store_follower::prove() {
     const base::instant began = this->context.now();
     this->platform.commit(
-        this->operators_part(), [this, began](base::result<ports::committed> answer) {
+        this->operators_part(), [this, began](base::result<ports::commit_result> answer) {
             auto& store = this->context.state.store;
             entries::proof_outcome outcome;
             outcome.answered = answer.has_value();
--- a/src/proxy/store_follower_tests.cpp
+++ b/src/proxy/store_follower_tests.cpp
@@ -22,7 +22,7 @@
         done(ports::snapshot{11, {{"config", "c", 12}, {"old", "o", 9}}});
     };
     platform.commit = [](const ports::transaction&, auto done) {
-        done(ports::committed{true, 11});
+        done(ports::commit_result{true, 11});
     };
     std::function<void(base::result<ports::changes>)> watch;
     platform.watch = [&](const std::string&, std::int64_t, base::milliseconds, auto done) {
@@ -43,7 +43,7 @@
 
     watch(ports::changes{13, {{{"config", "c", 12}, false}, {{"late", "l", 13}, false}}, false});
     REQUIRE(told.size() == 1);
-    CHECK(told.front().after == 11);
+    CHECK(told.front().base_revision == 11);
     CHECK(told.front().changes.revision == 13);
     std::set<std::string> keys;
     for (const auto& each : told.front().changes.items) {
@@ -63,7 +63,7 @@
     ports::platform platform;
     platform.read = [&](const std::string&, auto done) { done(ports::snapshot{revision, values}); };
     platform.commit = [&](const ports::transaction&, auto done) {
-        done(ports::committed{true, revision});
+        done(ports::commit_result{true, revision});
     };
     // It has fallen silent.
     platform.watch = [](const std::string&, std::int64_t, base::milliseconds, auto) {};
@@ -81,7 +81,7 @@
         tick();
     }
     const auto named_at = world.entry().now();
-    const std::string key = world.entry().words.named_weights_prefix + "desk-8b";
+    const std::string key = world.entry().codec.target_weights_prefix + "desk-8b";
     values = {{key, "2", ++revision}};
     for (int count = 0; count < 100 && !heard; ++count) {
         tick();
@@ -101,7 +101,7 @@
     world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     const base::model_id too_long{std::string(250, 'm')};
     world.state.fleet.members.at({"engine"}).listed.models = {{{"desk-8b"}, 1}, {too_long, 1}};
-    const std::string key = world.entry().words.named_weights_prefix + "desk-8b";
+    const std::string key = world.entry().codec.target_weights_prefix + "desk-8b";
     bool named = false;
     int proofs = 0;
     std::size_t longest_key = 0;
@@ -110,7 +110,7 @@
         done(named ? ports::snapshot{11, {{key, "2", 11}}} : ports::snapshot{10, {}});
     };
     platform.commit = [&](const ports::transaction& check, auto done) {
-        const auto& expected = check.expectations;
+        const auto& expected = check.preconditions;
         for (const auto& each : expected) {
             longest_key = std::max(longest_key, each.key.size());
         }
@@ -118,7 +118,7 @@
             return each.key == key && each.mod_revision != (named ? 11 : 0);
         });
         ++proofs;
-        done(ports::committed{holds, named ? 11 : 10});
+        done(ports::commit_result{holds, named ? 11 : 10});
     };
     // It has fallen silent.
     platform.watch = [](const std::string&, std::int64_t, base::milliseconds, auto) {};
--- a/src/proxy/store_news.cpp
+++ b/src/proxy/store_news.cpp
@@ -31,10 +31,10 @@
     if (told.changes.revision <= store.revision) {
         return outcome::taken;
     }
-    if (told.after > store.revision) {
+    if (told.base_revision > store.revision) {
         return outcome::missed;
     }
-    if (told.large.empty()) {
+    if (told.omitted_keys.empty()) {
         this->apply(told);
         return outcome::taken;
     }
@@ -50,7 +50,7 @@
 void store_news::apply_small(const peering::store_changes& told) {
     peering::store_changes small;
     for (const auto& each : told.changes.items) {
-        if (told.large.count(each.item.key) == 0) {
+        if (told.omitted_keys.count(each.item.key) == 0) {
             small.changes.items.push_back(each);
         }
     }
@@ -65,8 +65,8 @@
 }
 
 void store_news::read_next() {
-    if (!this->current->large.empty()) {
-        this->read(*this->current->large.begin(), 1);
+    if (!this->current->omitted_keys.empty()) {
+        this->read(*this->current->omitted_keys.begin(), 1);
         return;
     }
     const auto whole = std::move(*this->current);
@@ -76,8 +76,8 @@
 }
 
 void store_news::read(const std::string& key, int attempt) {
-    const auto wanted =
-        attempt <= cheap_attempts ? ports::freshness::may_be_old : ports::freshness::newest;
+    const auto wanted = attempt <= cheap_attempts ? ports::read_consistency::stale_allowed
+                                                  : ports::read_consistency::linearizable;
     this->platform.read_key(key, wanted, [this, key, attempt](const auto& read) {
         this->take_value(key, attempt, read);
     });
@@ -92,7 +92,7 @@
                        read.value()->mod_revision >= named->item.mod_revision;
     if (fresh) {
         named->item = *read.value();
-        this->current->large.erase(key);
+        this->current->omitted_keys.erase(key);
         this->read_next();
         return;
     }
--- a/src/proxy/store_news_tests.cpp
+++ b/src/proxy/store_news_tests.cpp
@@ -15,7 +15,7 @@
 struct news_world {
     struct asked_key {
         std::string key;
-        ports::freshness wanted;
+        ports::read_consistency wanted;
         std::function<void(base::result<std::optional<ports::stored_value>>)> done;
     };
 
@@ -35,7 +35,7 @@
 
     ports::platform store() {
         ports::platform made;
-        made.read_key = [this](std::string key, ports::freshness wanted, auto done) {
+        made.read_key = [this](std::string key, ports::read_consistency wanted, auto done) {
             this->asked.push_back({std::move(key), wanted, std::move(done)});
         };
         return made;
@@ -81,7 +81,7 @@
     CHECK(world.news.take(small(11, "b")) == outcome::reading);
     CHECK(world.world.state.store.revision == 10);
     REQUIRE(world.asked.size() == 1);
-    CHECK(world.asked.front().wanted == ports::freshness::may_be_old);
+    CHECK(world.asked.front().wanted == ports::read_consistency::stale_allowed);
 
     SECTION("until it is there") {
         world.answer(std::optional(ports::stored_value{"config", "much", 11}));
@@ -97,7 +97,7 @@
             CHECK(world.value_of("config").empty());
             REQUIRE(world.world.run_until([&] { return !world.asked.empty(); }));
         }
-        CHECK(world.asked.front().wanted == ports::freshness::newest);
+        CHECK(world.asked.front().wanted == ports::read_consistency::linearizable);
         world.answer(std::optional(ports::stored_value{"config", "newer", 14}));
         CHECK(world.value_of("config") == "newer");
         // What was told up to here; the newer item does not make the entry newer in all.
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -64,7 +64,7 @@
     const auto& pools = context.state.config->pools;
     const auto pool = pools.find(one.listed.pool);
     const std::int64_t room = pool == pools.end() ? 0 : pool->second.engine_tokens;
-    const auto work = fleet::all_work(one, context.now());
+    const auto work = fleet::total_work(one, context.now());
     return static_cast<double>(work.held_tokens) > full_share * static_cast<double>(room);
 }
 
@@ -87,10 +87,10 @@
                                                   const base::model_id& model) {
     const base::instant now = context.now();
     const auto& history = history_of(context.state, model);
-    const auto longest = longest_outdated(context.settings);
+    const auto longest = max_outdated_weights_age(context.settings);
     std::vector<kvcache::candidate> found;
     for (auto* one : all) {
-        const std::int64_t version = fleet::weights_of(*one, model);
+        const std::int64_t version = fleet::weights_version_of(*one, model);
         const auto since = perhaps_outdated_since(context, model, version);
         const auto allowed = may_wait_long(context, *one) ? longest - wait_when_full : longest;
         if (version > 0 && since && now - *since < allowed) {
@@ -121,7 +121,7 @@
 
 crash_cost cost_of_crash(const fleet::member& engine, const std::vector<base::upstream_id>& trials,
                          base::instant now) {
-    const auto work = fleet::all_work(engine, now);
+    const auto work = fleet::total_work(engine, now);
     const bool has_trial =
         std::find(trials.begin(), trials.end(), engine.listed.id) != trials.end();
     return {has_trial, work.unrepeatable, work.in_flight};
@@ -176,11 +176,11 @@
     const base::instant now = context.now();
     const auto rules = fleet_rules_of(context.settings);
     const kvcache::prompt_space space{request.prompt->model, request.isolated_team};
-    auto chain = kvcache::make_chain(space, request.prompt->parts);
+    auto chain = kvcache::make_chain(space, request.prompt->prompt_parts);
     const auto members = pool_members(context.state.fleet, request.pool);
     auto made = kvcache::place(candidates, {space, chain, pool->second, members, request.target},
                                {context.state.cache,
-                                context.state.kept,
+                                context.state.stored_prompts,
                                 config.kv_stores,
                                 now,
                                 rules,
@@ -254,12 +254,12 @@
     const base::instant now = context.now();
     pool_count count;
     for (const auto& [id, one] : context.state.fleet.members) {
-        if (one.listed.pool != pool || !fleet::is_listed(one)) {
+        if (one.listed.pool != pool || !fleet::is_available(one)) {
             continue;
         }
         ++count.listed;
-        count.fit += fleet::is_fit(one, now) ? 1 : 0;
-        count.busy += now < fleet::takes_nothing_before(one) ? 1 : 0;
+        count.fit += fleet::is_eligible(one, now) ? 1 : 0;
+        count.busy += now < fleet::unavailable_until(one) ? 1 : 0;
         count.suspected += fleet::is_suspected(one, now) ? 1 : 0;
     }
     return count;
@@ -272,7 +272,7 @@
     const base::instant now = context.now();
     std::optional<base::milliseconds> wait;
     for (const auto& [id, one] : context.state.fleet.members) {
-        if (one.listed.pool != pool || !fleet::is_listed(one)) {
+        if (one.listed.pool != pool || !fleet::is_available(one)) {
             continue;
         }
         const auto until =
--- a/src/proxy/upstream_choice.h
+++ b/src/proxy/upstream_choice.h
@@ -12,7 +12,7 @@
 struct choice_request {
     base::pool_id pool;
     // Null where the route's requests name no parts of a prompt.
-    const ports::caller_request* prompt = nullptr;
+    const ports::client_request* prompt = nullptr;
     base::team_id isolated_team;
     std::uint64_t number = 0;
     base::milliseconds target{0};
--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -52,11 +52,12 @@
 
 } // namespace
 
-upstream_list read_upstream_list(const mirror::store_mirror& store, const ports::dialect& words) {
+upstream_list read_upstream_list(const mirror::store_mirror& store,
+                                 const ports::platform_codec& words) {
     upstream_list list;
     std::vector<list_entry> entries;
     for (const auto& item : mirror::items_below(store, words.upstreams_prefix)) {
-        auto read = words.read_upstream(item.key, item.value);
+        auto read = words.parse_upstream(item.key, item.value);
         if (read.has_value()) {
             entries.push_back({std::move(read.value()), item.mod_revision});
         } else {
--- a/src/proxy/upstream_list.h
+++ b/src/proxy/upstream_list.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "mirror/store_mirror.h"
-#include "ports/dialect.h"
+#include "ports/platform_codec.h"
 
 #include <cstdint>
 #include <map>
@@ -22,6 +22,7 @@
 
 // Reads the list from what is known of the store. Where most upstreams say when they started, an
 // entry that does not is held to be another writer's.
-upstream_list read_upstream_list(const mirror::store_mirror& store, const ports::dialect& words);
+upstream_list read_upstream_list(const mirror::store_mirror& store,
+                                 const ports::platform_codec& words);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/upstream_list_tests.cpp
+++ b/src/proxy/upstream_list_tests.cpp
@@ -16,7 +16,7 @@
 }
 
 struct listed_store {
-    ports::dialect words = platform::make_dialect();
+    ports::platform_codec words = platform::make_dialect();
     mirror::store_mirror store;
     std::int64_t revision = 0;
 
@@ -95,12 +95,12 @@
         const base::instant now{base::seconds(100)};
         listed.store.items.erase(listed.words.upstreams_prefix + "i-2");
         listed.store.items.erase(listed.words.upstreams_prefix + "i-9");
-        fleet::take_list(state, listed.read().upstreams, now);
+        fleet::apply_list(state, listed.read().upstreams, now);
         listed.put("i-9", entry("19", "10.0.0.1:8080"));
         const auto after = listed.read();
-        fleet::take_list(state, after.upstreams, now);
+        fleet::apply_list(state, after.upstreams, now);
         for (const auto& [id, by] : after.replaced) {
-            fleet::withdraw(state, id);
+            fleet::mark_replaced(state, id);
         }
         const auto left = fleet::candidates(state, {"pool"}, now, {}, {{"i-9"}});
         CHECK(left.empty());
--- a/src/proxy/upstream_words_tests.cpp
+++ b/src/proxy/upstream_words_tests.cpp
@@ -66,7 +66,7 @@
     auto& leaving = world.add_engine("i-1", echo);
     auto& staying = world.add_engine("i-2", echo);
     // By load alone, each request would go to the one that leaves.
-    world.state.fleet.members.at({"i-2"}).ours.in_flight = 3;
+    world.state.fleet.members.at({"i-2"}).local_work.in_flight = 3;
     const auto answer =
         GENERATE(as<std::string>{}, "a success", "a refusal", "an error", "the head of a stream");
     CAPTURE(answer);
@@ -106,14 +106,14 @@
     SECTION("also when the list calls it ready again, or lists it anew after it lapsed") {
         auto listed = world.state.fleet.members.at({"i-1"}).listed;
         const auto other = world.state.fleet.members.at({"i-2"}).listed;
-        fleet::take_list(world.state.fleet, {listed, other}, world.entry().now());
-        fleet::take_list(world.state.fleet, {other}, world.entry().now());
+        fleet::apply_list(world.state.fleet, {listed, other}, world.entry().now());
+        fleet::apply_list(world.state.fleet, {other}, world.entry().now());
         world.leave();
         world.run_until([&world] { return world.open_requests() == 0; });
         world.move_clock(base::seconds(3));
-        fleet::drop_missing(world.state.fleet, world.entry().now(), {});
+        fleet::prune_unlisted(world.state.fleet, world.entry().now(), {});
         REQUIRE(world.state.fleet.members.count({"i-1"}) == 0);
-        fleet::take_list(world.state.fleet, {listed, other}, world.entry().now());
+        fleet::apply_list(world.state.fleet, {listed, other}, world.entry().now());
         call_for(world, milliseconds(500), "listed");
         CHECK(leaving.requests.size() == before);
     }
@@ -121,12 +121,13 @@
         REQUIRE(world.told.size() == 1);
         const auto heard = peering::decode(peering::encode({world.told.at(0)}));
         REQUIRE(heard.has_value());
-        CHECK(std::get<peering::upstream_leaving>(heard.value().told).upstream.id.value == "i-1");
+        CHECK(std::get<peering::upstream_draining>(heard.value().payload).upstream.id.value ==
+              "i-1");
     }
     SECTION("until it starts again") {
         auto& one = world.state.fleet.members.at({"i-1"});
         one.listed.incarnation = {5};
-        fleet::begin_life(one, {6});
+        fleet::start_incarnation(one, {6});
         leaving.set_answer(echo);
         call_for(world, milliseconds(500), "again");
         CHECK(leaving.requests.size() > before);
@@ -142,7 +143,7 @@
         "i-1", [](const engine_request& got) { return say(got, 421, "Server-Leaving: 1\r\n"); });
     world.call(tests::request("safe", "r1", "body"));
     REQUIRE(engine.requests.size() == 1);
-    CHECK_FALSE(world.state.fleet.members.at({"i-1"}).says_leaving_since);
+    CHECK_FALSE(world.state.fleet.members.at({"i-1"}).drain_reported_at);
 }
 
 // The failure: all upstreams of a pool say that they leave, and requests are sent to them as long
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -32,29 +32,29 @@
 // From the naming of a version to the first orders: the watch, and a tick.
 constexpr base::seconds first_load{1};
 
-const char* name_of(ports::running_requests running) {
+const char* name_of(ports::in_flight_policy running) {
     switch (running) {
-    case ports::running_requests::finish:
+    case ports::in_flight_policy::finish:
         return "finish";
-    case ports::running_requests::cut:
+    case ports::in_flight_policy::abort:
         return "cut";
-    case ports::running_requests::go_on:
+    case ports::in_flight_policy::continue_on_new_weights:
         return "go_on";
     }
     return "finish";
 }
 
-const char* name_of(ports::order_outcome outcome) {
+const char* name_of(ports::load_command_result outcome) {
     switch (outcome) {
-    case ports::order_outcome::accepted:
+    case ports::load_command_result::accepted:
         return "accepted";
-    case ports::order_outcome::already_done:
+    case ports::load_command_result::already_done:
         return "already_done";
-    case ports::order_outcome::conflict:
+    case ports::load_command_result::conflict:
         return "conflict";
-    case ports::order_outcome::wrong_instance:
+    case ports::load_command_result::wrong_instance:
         return "wrong_instance";
-    case ports::order_outcome::refused:
+    case ports::load_command_result::refused:
         break;
     }
     return "refused";
@@ -94,11 +94,11 @@
                                                      const weights_history& history) {
     weights::load_candidate made;
     made.id = one.listed.id;
-    made.version = fleet::weights_of(one, model);
+    made.version = fleet::weights_version_of(one, model);
     const base::instant now = this->context.now();
     const auto since = outdated_since(history, made.version);
-    made.in_flight = fleet::all_work(one, now).in_flight;
-    made.unused = since < now && now - since >= longest_outdated(this->context.settings);
+    made.in_flight = fleet::total_work(one, now).in_flight;
+    made.unused = since < now && now - since >= max_outdated_weights_age(this->context.settings);
     made.lane = one.short_lane ? 1 : 0;
     made.change_time = weights::drain_rules{}.usual + load_time;
     made.suspected = !membership::usable(one.health, now);
@@ -141,15 +141,15 @@
     std::vector<weights::load_candidate> all;
     for (const auto& [id, one] : this->context.state.fleet.members) {
         const bool is_ours = this->context.state.config->pools.count(one.listed.pool) > 0;
-        if (is_ours && fleet::is_listed(one) && fleet::weights_of(one, model) > 0) {
+        if (is_ours && fleet::is_available(one) && fleet::weights_version_of(one, model) > 0) {
             all.push_back(this->candidate_of(one, model, history));
         }
     }
     const std::int64_t version = newest(history);
     this->order_the_drained(model, version);
     weights::load_rules rules;
-    rules.within =
-        std::max<base::micros>(longest_outdated(this->context.settings) - first_load, first_load);
+    rules.within = std::max<base::micros>(
+        max_outdated_weights_age(this->context.settings) - first_load, first_load);
     for (const auto& id : weights::plan_loads(all, version, this->context.now(), rules)) {
         this->order(id, model, version);
     }
@@ -179,11 +179,11 @@
     const base::instant now = this->context.now();
     weights::pool_load found;
     for (const auto& [id, one] : this->context.state.fleet.members) {
-        if (one.listed.pool != changing.listed.pool || !fleet::is_listed(one)) {
+        if (one.listed.pool != changing.listed.pool || !fleet::is_available(one)) {
             continue;
         }
-        found.in_flight += fleet::all_work(one, now).in_flight;
-        const bool serves = membership::usable(one.health, now) && now >= one.changing_until;
+        found.in_flight += fleet::total_work(one, now).in_flight;
+        const bool serves = membership::usable(one.health, now) && now >= one.weights_change_until;
         if (serves && &one != &changing) {
             found.slots += one.listed.slots;
         }
@@ -191,12 +191,12 @@
     return found;
 }
 
-ports::running_requests weights_loader::running_requests_of(const fleet::member& one) const {
+ports::in_flight_policy weights_loader::running_requests_of(const fleet::member& one) const {
     if (weights::is_crowded(this->pool_load_beside(one), {})) {
-        return ports::running_requests::go_on;
+        return ports::in_flight_policy::continue_on_new_weights;
     }
-    const bool may_cut = fleet::all_work(one, this->context.now()).unrepeatable == 0;
-    return may_cut ? ports::running_requests::cut : ports::running_requests::finish;
+    const bool may_cut = fleet::total_work(one, this->context.now()).unrepeatable == 0;
+    return may_cut ? ports::in_flight_policy::abort : ports::in_flight_policy::finish;
 }
 
 void weights_loader::drain(fleet::member& one, std::int64_t version) {
@@ -216,7 +216,7 @@
             continue;
         }
         auto& one = found->second;
-        const auto unrepeatable = fleet::all_work(one, now).unrepeatable;
+        const auto unrepeatable = fleet::total_work(one, now).unrepeatable;
         if (weights::is_drained({now - *order.drained_since, unrepeatable}, {})) {
             this->keep_away(one, load_time);
             this->send_order(one, model, version, known->second);
@@ -229,18 +229,18 @@
     const auto upstream = fleet::instance_of(one);
     const auto& id = upstream.id;
     const base::instant now = this->context.now();
-    ports::load_order order{model, version, this->leader.name(), this->leader.fence(),
-                            expected_orders};
-    order.running = this->running_requests_of(one);
+    ports::load_command order{model, version, this->leader.name(), this->leader.fence(),
+                              expected_orders};
+    order.in_flight = this->running_requests_of(one);
     const auto beside = this->pool_load_beside(one);
     this->orders[id] = {version, now, false, {}, {}};
     this->context.log.line(importance::keep, "load_ordered")
         .text("upstream", id.value)
         .number("version", version)
-        .number("from_version", fleet::weights_of(one, model))
-        .number("fence", order.fence)
-        .number("expected_orders", order.expected_orders)
-        .text("running", name_of(order.running))
+        .number("from_version", fleet::weights_version_of(one, model))
+        .number("fence", order.fencing_token)
+        .number("expected_orders", order.expected_accepted_commands)
+        .text("running", name_of(order.in_flight))
         .number("pool_in_flight", beside.in_flight)
         .number("pool_slots", beside.slots)
         .number("in_flight",
@@ -248,7 +248,7 @@
     this->context.metrics.count("camphorrail_load_orders_total");
     adapters::http_fetch(
         this->context.loop.base(), one.listed.address,
-        to_call(this->context.words.order_call(order, id)), {order_timeout, false},
+        to_call(this->context.codec.make_load_request(order, id)), {order_timeout, false},
         max_answer_bytes, [this, upstream, version](base::result<adapters::http_answer> answer) {
             if (!answer.has_value()) {
                 this->context.log.line(importance::keep, "load_order_unanswered")
@@ -257,7 +257,7 @@
                 return;
             }
             this->note_answer(upstream, version,
-                              this->context.words.read_order_answer(answer.value().status));
+                              this->context.codec.parse_load_response(answer.value().status));
         });
 }
 
@@ -265,12 +265,12 @@
 void weights_loader::keep_away(fleet::member& one, base::milliseconds span) {
     const base::instant until = this->context.now() + span;
     one.busy_until = std::max<base::instant>(one.busy_until, until);
-    one.changing_until = std::max<base::instant>(one.changing_until, until);
-    this->context.tell_change(fleet::instance_of(one), span);
+    one.weights_change_until = std::max<base::instant>(one.weights_change_until, until);
+    this->context.broadcast_weights_change(fleet::instance_of(one), span);
 }
 
 void weights_loader::note_answer(const base::upstream_instance& upstream, std::int64_t version,
-                                 ports::order_outcome outcome) {
+                                 ports::load_command_result outcome) {
     const auto& id = upstream.id;
     auto* one = fleet::find_instance(this->context.state.fleet, upstream);
     this->context.log.line(importance::keep, "load_order_answered")
@@ -282,7 +282,7 @@
     if (one == nullptr || sent == this->orders.end() || sent->second.version != version) {
         return;
     }
-    if (outcome == ports::order_outcome::accepted) {
+    if (outcome == ports::load_command_result::accepted) {
         sent->second.accepted = true;
         ++this->accepted_orders[id];
         return;
@@ -300,18 +300,18 @@
         return;
     }
     const auto upstream = fleet::instance_of(found->second);
-    adapters::http_fetch(this->context.loop.base(), found->second.listed.address,
-                         to_call(this->context.words.state_call), {order_timeout, false},
-                         max_answer_bytes,
-                         [this, upstream](base::result<adapters::http_answer> answer) {
-                             if (!answer.has_value() || answer.value().status != status_ok) {
-                                 return;
-                             }
-                             const auto state = this->context.words.read_state(answer.value().body);
-                             if (state.has_value()) {
-                                 this->take_state(upstream, state.value());
-                             }
-                         });
+    adapters::http_fetch(
+        this->context.loop.base(), found->second.listed.address,
+        to_call(this->context.codec.state_request), {order_timeout, false}, max_answer_bytes,
+        [this, upstream](base::result<adapters::http_answer> answer) {
+            if (!answer.has_value() || answer.value().status != status_ok) {
+                return;
+            }
+            const auto state = this->context.codec.parse_state(answer.value().body);
+            if (state.has_value()) {
+                this->take_state(upstream, state.value());
+            }
+        });
 }
 
 // An upstream that has started again may say so before the platform's list does: beliefs of its
@@ -327,11 +327,11 @@
     if (said == asked.incarnation) {
         return true;
     }
-    if (said == base::upstream_incarnation{} || fleet::has_ended(*one, said)) {
+    if (said == base::upstream_incarnation{} || fleet::incarnation_ended(*one, said)) {
         return false;
     }
-    fleet::begin_life(*one, said);
-    forget_earlier_life(this->context, fleet::instance_of(*one));
+    fleet::start_incarnation(*one, said);
+    discard_previous_incarnation(this->context, fleet::instance_of(*one));
     this->forget_earlier_lives();
     return true;
 }
@@ -352,25 +352,25 @@
     auto& one = this->context.state.fleet.members.at(id);
     const auto asked = this->orders.find(id);
     for (const auto& [model, version] : state.models) {
-        this->context.tell_weights(fleet::instance_of(one), model, version);
+        this->context.broadcast_weights(fleet::instance_of(one), model, version);
     }
-    this->accepted_orders[id] = state.orders;
+    this->accepted_orders[id] = state.accepted_commands;
     const bool ours = asked != this->orders.end() && asked->second.accepted;
-    if (state.busy) {
+    if (state.loading) {
         // It refuses whatever comes; each refusal would cost a caller time and a retry.
         this->keep_away(one, still_busy);
     }
-    if (state.busy && asked == this->orders.end()) {
+    if (state.loading && asked == this->orders.end()) {
         // Another leader's order, or one of ours that came late.
         this->orders[id] = {asking, this->context.now(), true, {}, {}};
-    } else if (!state.busy && asked != this->orders.end() && !ours) {
+    } else if (!state.loading && asked != this->orders.end() && !ours) {
         this->orders.erase(asked);
     }
     this->context.log.line(importance::keep, "upstream_state")
         .text("upstream", id.value)
         .number("incarnation", state.incarnation.value)
-        .number("orders", state.orders)
-        .flag("busy", state.busy);
+        .number("orders", state.accepted_commands)
+        .flag("busy", state.loading);
 }
 
 } // namespace camphorrail::proxy
--- a/src/proxy/weights_loader.h
+++ b/src/proxy/weights_loader.h
@@ -51,7 +51,7 @@
     void order(const base::upstream_id& id, const base::model_id& model, std::int64_t version);
     // What is under way in an upstream's pool, and what the others there can take.
     [[nodiscard]] weights::pool_load pool_load_beside(const fleet::member& changing) const;
-    [[nodiscard]] ports::running_requests running_requests_of(const fleet::member& one) const;
+    [[nodiscard]] ports::in_flight_policy running_requests_of(const fleet::member& one) const;
     void drain(fleet::member& one, std::int64_t version);
     void send_order(const fleet::member& one, const base::model_id& model, std::int64_t version,
                     std::int64_t expected_orders);
@@ -59,7 +59,7 @@
     void keep_away(fleet::member& one, base::milliseconds span);
     void ask_state(const base::upstream_id& id);
     void note_answer(const base::upstream_instance& upstream, std::int64_t version,
-                     ports::order_outcome outcome);
+                     ports::load_command_result outcome);
 
     entry_context& context;
     order_authority leader;
--- a/src/proxy/weights_loader_tests.cpp
+++ b/src/proxy/weights_loader_tests.cpp
@@ -79,14 +79,14 @@
         led.accepted = 0;
         auto again = led.member().listed;
         again.incarnation = {90};
-        fleet::take_list(led.world.state.fleet, {again}, led.world.entry().now());
+        fleet::apply_list(led.world.state.fleet, {again}, led.world.entry().now());
         REQUIRE(led.wait_for_orders(2));
         CHECK(led.ordered[1].find(R"("expected":0)") != std::string::npos);
     }
     SECTION("and what a life says that is over is not believed") {
         auto again = led.member().listed;
         again.incarnation = {101};
-        fleet::take_list(led.world.state.fleet, {again}, led.world.entry().now());
+        fleet::apply_list(led.world.state.fleet, {again}, led.world.entry().now());
         led.tick_until([&] { return led.world.state.fleet.members.empty(); });
         CHECK(led.ordered.size() == 1);
         CHECK(led.member().listed.incarnation.value == 101);
@@ -99,16 +99,16 @@
     led_world led;
     led.born = 105;
     led.member().health.ejected_until = led.world.entry().now() + base::seconds(60);
-    led.member().elsewhere[{"entry-2"}] = {{4, 100, 100, 0},
-                                           led.world.entry().now() + base::seconds(60)};
+    led.member().remote_work[{"entry-2"}] = {{4, 100, 100, 0},
+                                             led.world.entry().now() + base::seconds(60)};
     const auto listed_before = led.member().listed;
     led.member().health.ejected_until = {};
     REQUIRE(led.wait_for_orders(1));
     CHECK(led.member().listed.incarnation.value == 105);
-    CHECK(led.member().elsewhere.empty());
+    CHECK(led.member().remote_work.empty());
 
     SECTION("and the list does not bring it back") {
-        fleet::take_list(led.world.state.fleet, {listed_before}, led.world.entry().now());
+        fleet::apply_list(led.world.state.fleet, {listed_before}, led.world.entry().now());
         CHECK(led.member().listed.incarnation.value == 105);
     }
 }
@@ -121,7 +121,7 @@
     led.born = 100;
     auto& other = led.world.state.fleet.members[{"i-2"}];
     other.listed = {.id = {"i-2"}, .pool = {"pool"}, .slots = 48};
-    auto& work = led.member().ours;
+    auto& work = led.member().local_work;
     fleet::begin_work(work, {800, 800, false, true});
     const auto begun = led.world.entry().now();
     const auto passed = [&] { return led.world.entry().now() - begun; };
@@ -130,7 +130,7 @@
         REQUIRE(led.wait_for_orders(1));
         CHECK(led.ordered[0].find(R"("mode":"cut")") != std::string::npos);
         CHECK(passed() >= base::milliseconds(400));
-        CHECK(led.member().changing_until > led.world.entry().now());
+        CHECK(led.member().weights_change_until > led.world.entry().now());
     }
     SECTION("once its calls that would be lost have ended") {
         fleet::begin_work(work, {9000, 3000, true, false});
--- a/src/proxy/weights_news.cpp
+++ b/src/proxy/weights_news.cpp
@@ -22,15 +22,15 @@
 
 // Whether a version was learned of so lately that it matters when it was named.
 bool has_recent(const entry_context& context, const weights_history& history) {
-    return any_learned_within(history, context.now(), longest_outdated(context.settings));
+    return any_learned_within(history, context.now(), max_outdated_weights_age(context.settings));
 }
 
 // The oldest version of a model that a listed upstream holds; nothing where none holds any.
 std::optional<std::int64_t> oldest_held(const entry_context& context, const base::model_id& model) {
     std::optional<std::int64_t> oldest;
     for (const auto& [id, one] : context.state.fleet.members) {
-        const auto held = fleet::weights_of(one, model);
-        if (fleet::is_listed(one) && held > 0) {
+        const auto held = fleet::weights_version_of(one, model);
+        if (fleet::is_available(one) && held > 0) {
             oldest = std::min(oldest.value_or(held), held);
         }
     }
@@ -43,8 +43,8 @@
     auto& state = context.state;
     const base::instant now = context.now();
     bool any_new = false;
-    for (const auto& item : mirror::items_below(state.store, context.words.named_weights_prefix)) {
-        const auto read = context.words.read_named_weights(item.value);
+    for (const auto& item : mirror::items_below(state.store, context.codec.target_weights_prefix)) {
+        const auto read = context.codec.parse_target_weights(item.value);
         if (!read.has_value()) {
             context.log.line(importance::keep, "weights_unreadable").text("key", item.key);
             continue;
@@ -56,7 +56,7 @@
             continue;
         }
         any_new = true;
-        forget_replaced(history, now, longest_outdated(context.settings));
+        forget_replaced(history, now, max_outdated_weights_age(context.settings));
         context.log.line(importance::keep, "weights_named")
             .text("model", named.model.value)
             .number("version", named.version)
@@ -69,7 +69,7 @@
 }
 
 bool take_told_weights(entry_context& context, const base::entry_id& from,
-                       const std::vector<peering::weights_named>& told, base::instant asked_at) {
+                       const std::vector<peering::target_weights>& told, base::instant asked_at) {
     const base::instant now = context.now();
     bool any_closer = false;
     for (const auto& each : told) {
@@ -90,9 +90,9 @@
     return any_closer;
 }
 
-std::vector<peering::weights_named> named_weights_to_tell(const entry_context& context) {
+std::vector<peering::target_weights> named_weights_to_tell(const entry_context& context) {
     const base::instant now = context.now();
-    std::vector<peering::weights_named> told;
+    std::vector<peering::target_weights> told;
     for (const auto& [model, history] : context.state.weights) {
         if (!has_recent(context, history)) {
             continue;
--- a/src/proxy/weights_news.h
+++ b/src/proxy/weights_news.h
@@ -16,11 +16,11 @@
 // answered, so they are counted from before it was asked, however long the answer has lain unread.
 // True where more is known than before.
 bool take_told_weights(entry_context& context, const base::entry_id& from,
-                       const std::vector<peering::weights_named>& told, base::instant asked_at);
+                       const std::vector<peering::target_weights>& told, base::instant asked_at);
 
 // What another entry is told about when weights were named; nothing where that was so long ago that
 // it does not matter.
-std::vector<peering::weights_named> named_weights_to_tell(const entry_context& context);
+std::vector<peering::target_weights> named_weights_to_tell(const entry_context& context);
 
 // Whether upstreams hold weights that are outdated for a time that is known so badly that other
 // entries are to be asked for it.
--- a/src/proxy/weights_news_tests.cpp
+++ b/src/proxy/weights_news_tests.cpp
@@ -38,7 +38,7 @@
 
     // A watch tells of a named version.
     void hear_of(std::int64_t version) {
-        const std::string key = this->world.entry().words.named_weights_prefix + model.value;
+        const std::string key = this->world.entry().codec.target_weights_prefix + model.value;
         const std::string value =
             R"({"model":")" + model.value + R"(","version":)" + std::to_string(version) + "}";
         ++this->revision;
--- a/src/quarantine/quarantine_tests.cpp
+++ b/src/quarantine/quarantine_tests.cpp
@@ -261,7 +261,7 @@
     int harmless_held = 0;
 
     void arrive(const std::string& name, int now, bool fatal) {
-        const std::size_t at = base::below(this->random, this->entries.size());
+        const std::size_t at = base::random_below(this->random, this->entries.size());
         auto& one = this->entries.at(at);
         const auto verdict = one.judge(name, now);
         this->harmless += fatal ? 0 : 1;
@@ -270,7 +270,8 @@
             return;
         }
         const bool trial = verdict == verdict::trial;
-        const std::size_t engine = trial ? this->least_busy() : base::below(this->random, engines);
+        const std::size_t engine =
+            trial ? this->least_busy() : base::random_below(this->random, engines);
         const int span = fatal ? crash_after_ms : runs_ms;
         this->running.at(engine).push_back({name, at, now, now + span, fatal, trial});
         if (trial) {
@@ -280,9 +281,9 @@
     }
 
     std::size_t least_busy() {
-        std::size_t best = base::below(this->random, engines);
+        std::size_t best = base::random_below(this->random, engines);
         for (int draw = 0; draw < 6; ++draw) {
-            const std::size_t other = base::below(this->random, engines);
+            const std::size_t other = base::random_below(this->random, engines);
             if (this->running.at(other).size() < this->running.at(best).size()) {
                 best = other;
             }
@@ -359,7 +360,7 @@
     void play() {
         for (int now = 0; now < 20000; now += 5) {
             this->step(now);
-            if (base::unit(this->random) < 0.8) {
+            if (base::random_unit(this->random) < 0.8) {
                 this->arrive("harmless-" + std::to_string(now), now, false);
             }
             if (now % 200 == 0) {
@@ -452,9 +453,9 @@
             this->arrivals.push_back(now + come_back_ms);
             return;
         }
-        std::size_t engine = base::below(this->random, engines);
+        std::size_t engine = base::random_below(this->random, engines);
         while (this->known_gone.at(at).count(engine) > 0 || this->refuses(engine, now)) {
-            engine = base::below(this->random, engines);
+            engine = base::random_below(this->random, engines);
         }
         const bool trial = judged == verdict::trial;
         if (trial) {
@@ -529,7 +530,7 @@
         const auto due = std::exchange(this->arrivals, {});
         for (const int at_ms : due) {
             if (now >= at_ms) {
-                this->send(base::below(this->random, this->entries.size()), now);
+                this->send(base::random_below(this->random, this->entries.size()), now);
             } else {
                 this->arrivals.push_back(at_ms);
             }
--- a/src/quota/quota.cpp
+++ b/src/quota/quota.cpp
@@ -143,8 +143,8 @@
 
 // From 0 up to 1, the same for the same lot.
 double draw(std::uint64_t lot, std::uint64_t salt) {
-    base::random_source source{base::mix(lot, salt)};
-    return base::unit(source);
+    base::random_source source{base::combine_hashes(lot, salt)};
+    return base::random_unit(source);
 }
 
 // When the team has room again, and then as long as it takes to let through what was refused within
@@ -362,7 +362,7 @@
                  const quota_rules& rules) {
     note_start(state, now);
     auto& peer = peer_of(state, report.from, now);
-    const base::instant at = base::written_at(peer.clock, report.uptime, now - report.age);
+    const base::instant at = base::estimate_sent_at(peer.clock, report.uptime, now - report.age);
     peer.heard_at = std::max(peer.heard_at.value_or(at), at);
     state.settled = state.settled || report.uptime > rules.longest_settling;
     for (const auto& count : report.counts) {
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/teller_clock.h"
+#include "base/sender_clock.h"
 #include "base/units.h"
 #include "routes/operators_config.h"
 
@@ -111,7 +111,7 @@
     bool listed = false;
     // When what it told last was written; nothing where it has told nothing.
     std::optional<base::instant> heard_at;
-    base::teller_clock clock;
+    base::sender_clock clock;
     base::instant known_since{};
     bool silent = true;
 };
--- a/src/quota/quota_fleet_tests.cpp
+++ b/src/quota/quota_fleet_tests.cpp
@@ -81,12 +81,12 @@
         this->nodes.resize(entries);
         for (std::size_t each = 0; each < entries; ++each) {
             this->nodes[each].id = {"entry-" + std::to_string(each)};
-            this->nodes[each].weight = 0.2 + base::unit(this->random) * 2;
+            this->nodes[each].weight = 0.2 + base::random_unit(this->random) * 2;
             this->nodes[each].began_ms = -60'000;
         }
         this->limits[busy] = {{-100'000, rate}};
         this->limits[calm] = {{-100'000, rate}};
-        this->demand[busy] = rate * (0.5 + 4 * base::unit(this->random));
+        this->demand[busy] = rate * (0.5 + 4 * base::random_unit(this->random));
         this->demand[calm] = rate * 0.5;
         for (auto& each : this->nodes) {
             this->start(each, -60'000);
@@ -96,7 +96,8 @@
     static base::instant at(int ms) { return base::instant(milliseconds(200'000 + ms)); }
 
     int below(int bound) {
-        return static_cast<int>(base::below(this->random, static_cast<std::uint64_t>(bound)));
+        return static_cast<int>(
+            base::random_below(this->random, static_cast<std::uint64_t>(bound)));
     }
 
     [[nodiscard]] double limit_of(const base::team_id& team) const {
@@ -211,9 +212,9 @@
         }
         for (const auto& [team, rate] : this->demand) {
             double wanted = rate * step_ms / 1000 / static_cast<double>(this->request_size);
-            while (!up.empty() && base::unit(this->random) < wanted) {
+            while (!up.empty() && base::random_unit(this->random) < wanted) {
                 wanted -= 1.0;
-                double drawn = base::unit(this->random) * weights;
+                double drawn = base::random_unit(this->random) * weights;
                 std::size_t pick = 0;
                 while (pick + 1 < up.size() && drawn > this->nodes[up[pick]].weight) {
                     drawn -= this->nodes[up[pick]].weight;
@@ -226,7 +227,7 @@
 
     void break_something(int now) {
         const auto any = [this]() -> node& {
-            return this->nodes[base::below(this->random, this->nodes.size())];
+            return this->nodes[base::random_below(this->random, this->nodes.size())];
         };
         switch (this->below(9)) {
         case 0:
@@ -243,7 +244,8 @@
         case 3:
             // All links stand still for a while.
             for (std::size_t each = 0; each < this->nodes.size(); ++each) {
-                this->link_stands_until[{each, base::below(this->random, this->nodes.size())}] =
+                this->link_stands_until[{each,
+                                         base::random_below(this->random, this->nodes.size())}] =
                     now + this->below(3000);
             }
             break;
@@ -255,7 +257,7 @@
             }
             break;
         case 5:
-            this->demand[busy] = this->limit_of(busy) * (0.3 + 8 * base::unit(this->random));
+            this->demand[busy] = this->limit_of(busy) * (0.3 + 8 * base::random_unit(this->random));
             break;
         case 6:
             for (auto& each : this->nodes) {
@@ -372,7 +374,7 @@
     const auto play = [&](std::uint64_t seed) {
         CAPTURE(seed);
         base::random_source pick{seed};
-        const std::size_t entries = 2 + base::below(pick, 12);
+        const std::size_t entries = 2 + base::random_below(pick, 12);
         quota_fleet fleet(seed, entries, 60'000, slack);
         fleet.play(0, 30'000);
         for (const auto& team : {busy, calm}) {
--- a/src/routing/rendezvous_tests.cpp
+++ b/src/routing/rendezvous_tests.cpp
@@ -21,7 +21,7 @@
         std::vector<int> load(members.size());
         constexpr int keys = 21000;
         for (int key = 0; key < keys; ++key) {
-            ++load[routing::homes(members, base::next(random), 1).front()];
+            ++load[routing::homes(members, base::random_bits(random), 1).front()];
         }
         CHECK(*std::min_element(load.begin(), load.end()) > 850);
         CHECK(*std::max_element(load.begin(), load.end()) < 1150);
@@ -29,7 +29,7 @@
 
     SECTION("move only the keys of a member that went, each to its second home") {
         for (int round = 0; round < 1000; ++round) {
-            const auto key = base::next(random);
+            const auto key = base::random_bits(random);
             const auto before = routing::homes(members, key, 2);
             auto fewer = members;
             fewer[7] = members.back();
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -173,7 +173,7 @@
         add_holders(pool, table, chain[level].key, candidates);
     }
     for (std::size_t count = 0; count < rules.random_choices; ++count) {
-        add_candidate(candidates, base::below(random, pool.upstreams.size()));
+        add_candidate(candidates, base::random_below(random, pool.upstreams.size()));
     }
     return candidates;
 }
--- a/src/stream/assembler_tests.cpp
+++ b/src/stream/assembler_tests.cpp
@@ -51,9 +51,9 @@
             base::random_source random{static_cast<std::uint64_t>(seed)};
             stream::assembler crossed;
             stream::begin(crossed, {"a"});
-            const int pieces = 1 + static_cast<int>(base::below(random, 12));
+            const int pieces = 1 + static_cast<int>(base::random_below(random, 12));
             auto first = answer_of("a", pieces, 0);
-            const auto seen = base::below(random, first.size());
+            const auto seen = base::random_below(random, first.size());
             std::string text;
             const auto feed = [&](const frame& got) {
                 const auto verdict = got.end
@@ -68,13 +68,13 @@
             }
             stream::begin(crossed, {"b"});
             const auto second = answer_of("b", pieces, static_cast<int>(crossed.delivered));
-            std::size_t late = base::below(random, first.size());
+            std::size_t late = base::random_below(random, first.size());
             for (const frame& got : second) {
-                while (late < first.size() && base::below(random, 2) == 0) {
+                while (late < first.size() && base::random_below(random, 2) == 0) {
                     feed(first[late++]);
                 }
                 feed(got);
-                if (base::below(random, 4) == 0) {
+                if (base::random_below(random, 4) == 0) {
                     feed(got);
                 }
             }
--- a/src/wire/messages_tests.cpp
+++ b/src/wire/messages_tests.cpp
@@ -38,12 +38,13 @@
         int refused = 0;
         for (int round = 0; round < 20000; ++round) {
             std::string bad = good;
-            const std::uint64_t changes = 1 + base::below(random, 4);
+            const std::uint64_t changes = 1 + base::random_below(random, 4);
             for (std::uint64_t change = 0; change < changes; ++change) {
-                bad[base::below(random, bad.size())] = static_cast<char>(base::next(random));
+                bad[base::random_below(random, bad.size())] =
+                    static_cast<char>(base::random_bits(random));
             }
-            if (base::below(random, 4) == 0) {
-                bad.resize(base::below(random, bad.size()));
+            if (base::random_below(random, 4) == 0) {
+                bad.resize(base::random_below(random, bad.size()));
             }
             refused += wire::decode(bad).has_value() ? 0 : 1;
         }
--- a/tests/fuzz_tests.cpp
+++ b/tests/fuzz_tests.cpp
@@ -131,21 +131,21 @@
 }
 
 std::string damage(std::string text, base::random_source& random) {
-    const auto changes = 1 + base::below(random, 6);
+    const auto changes = 1 + base::random_below(random, 6);
     for (std::uint64_t change = 0; change < changes && !text.empty(); ++change) {
-        const auto place = base::below(random, text.size());
-        switch (base::below(random, 5)) {
+        const auto place = base::random_below(random, text.size());
+        switch (base::random_below(random, 5)) {
         case 0:
-            text[place] = static_cast<char>(base::next(random));
+            text[place] = static_cast<char>(base::random_bits(random));
             break;
         case 1:
-            text.erase(place, base::below(random, 8));
+            text.erase(place, base::random_below(random, 8));
             break;
         case 2:
-            text.insert(place, text.substr(base::below(random, text.size()), 12));
+            text.insert(place, text.substr(base::random_below(random, text.size()), 12));
             break;
         case 3:
-            text[place] = "{}[]\":,0-9e.\n"[base::below(random, 13)];
+            text[place] = "{}[]\":,0-9e.\n"[base::random_below(random, 13)];
             break;
         default:
             text.resize(place);
--- a/tests/once_world.cpp
+++ b/tests/once_world.cpp
@@ -105,9 +105,9 @@
         }
     };
 
-    bool chance(double probability) { return base::unit(this->random) < probability; }
+    bool chance(double probability) { return base::random_unit(this->random) < probability; }
     micros between(micros low, micros high) {
-        return low + micros(static_cast<std::int64_t>(base::below(
+        return low + micros(static_cast<std::int64_t>(base::random_below(
                          this->random, static_cast<std::uint64_t>((high - low).count()) + 1)));
     }
     void after(micros delay, std::function<void()> action) {
@@ -158,7 +158,7 @@
 
     // --- the store -----------------------------------------------------------------------------
 
-    bool holds(const ports::expectation& expected) const {
+    bool holds(const ports::precondition& expected) const {
         if (this->fault == planted::no_fence && expected.key.find("/owner") != std::string::npos &&
             expected.mod_revision != 0) {
             return true;
@@ -171,9 +171,9 @@
         return (found == this->store.end() ? 0 : found->second.revision) == expected.mod_revision;
     }
 
-    ports::committed apply(const ports::transaction& change) {
+    ports::commit_result apply(const ports::transaction& change) {
         this->expire_leases();
-        for (const auto& expected : change.expectations) {
+        for (const auto& expected : change.preconditions) {
             if (!this->holds(expected)) {
                 return {false, this->revision};
             }
@@ -364,9 +364,9 @@
     }
 
     void carry_out_one(int number, const once::commit_action& todo) {
-        this->call<ports::committed>(
+        this->call<ports::commit_result>(
             number, [this, todo] { return this->apply(todo.change); },
-            [this, number](base::result<ports::committed> answer) {
+            [this, number](base::result<ports::commit_result> answer) {
                 this->carry_out(number, once::on_committed(this->agents[number].ledger, answer,
                                                            this->moment()));
             });
@@ -380,7 +380,7 @@
                                   ++this->order,
                                   todo.key.value,
                                   todo.attempt.value,
-                                  base::ran::completed,
+                                  base::execution_state::completed,
                                   {},
                                   this->deadlines[todo.attempt.value],
                                   ""});
@@ -395,8 +395,8 @@
     }
 
     void carry_out_one(int /*number*/, const once::answer_action& todo) {
-        this->reply(event_record::kind::answered, todo.attempt.value, base::ran::completed, {},
-                    todo.answer.body);
+        this->reply(event_record::kind::answered, todo.attempt.value,
+                    base::execution_state::completed, {}, todo.answer.body);
     }
     void carry_out_one(int /*number*/, const once::refuse_action& todo) {
         this->reply(event_record::kind::refused, todo.attempt.value, todo.ran, todo.number, "");
@@ -408,7 +408,7 @@
     // --- callers and entries -------------------------------------------------------------------
 
     // An answer travels back to the entry; a caller that got a final answer takes no second one.
-    void reply(event_record::kind what, const std::string& attempt, base::ran ran,
+    void reply(event_record::kind what, const std::string& attempt, base::execution_state ran,
                base::code number, const std::string& text) {
         const std::string key = this->keys_of[attempt];
         // What the agent said is judged as of the moment it said it.
@@ -445,7 +445,7 @@
                 const bool dated = this->chance(0.7);
                 const std::string key = dated ? dated_name(wall_of(this->now), number)
                                               : "key-" + std::to_string(number);
-                const auto asks = 1 + base::below(this->random, 4);
+                const auto asks = 1 + base::random_below(this->random, 4);
                 for (std::uint64_t ask = 0; ask < asks; ++ask) {
                     const micros delay =
                         ask == 0 ? micros(0) : this->between(micros(0), seconds(12));
@@ -458,19 +458,22 @@
     // One attempt: the entry sends it to an owner by the placement that it knows, now and then a
     // stale one, and calls it off at its deadline.
     void ask(const std::string& key) {
-        this->send(
-            key, this->chance(this->odds.first_owner) ? 0 : base::below(this->random, agent_count),
-            this->now + this->between(milliseconds(500),
-                                      seconds(this->chance(this->odds.patient) ? 20 : 6)));
+        this->send(key,
+                   this->chance(this->odds.first_owner)
+                       ? 0
+                       : base::random_below(this->random, agent_count),
+                   this->now + this->between(milliseconds(500),
+                                             seconds(this->chance(this->odds.patient) ? 20 : 6)));
     }
 
     void send(const std::string& key, std::size_t wanted_rank, base::instant deadline) {
         const std::string attempt = "attempt-" + std::to_string(++this->attempts);
         this->keys_of[attempt] = key;
         const auto owners = once::ranked_owners(
-            {key}, this->chance(0.8)
-                       ? this->make_placement().owners
-                       : this->agents[base::below(this->random, agent_count)].placement.owners);
+            {key},
+            this->chance(0.8)
+                ? this->make_placement().owners
+                : this->agents[base::random_below(this->random, agent_count)].placement.owners);
         if (owners.empty()) {
             return;
         }
@@ -528,7 +531,7 @@
     }
 
     void strike() {
-        const int number = static_cast<int>(base::below(this->random, agent_count));
+        const int number = static_cast<int>(base::random_below(this->random, agent_count));
         agent& at = this->agents[number];
         if (this->chance(this->odds.crash) && at.up) {
             at.up = false;
@@ -571,7 +574,7 @@
 
     // The operators take an agent out of the pool, or put it back; each agent hears of it in turn.
     void move() {
-        const int number = static_cast<int>(base::below(this->random, agent_count));
+        const int number = static_cast<int>(base::random_below(this->random, agent_count));
         if (this->left.erase(number) == 0 && this->left.size() + 1 < agent_count) {
             this->left.insert(number);
         }
@@ -653,9 +656,9 @@
         }
     }
     for (const auto& item : happened) {
-        const bool says_not_run =
-            item.ran == base::ran::not_run && (item.what == event_record::kind::refused ||
-                                               item.what == event_record::kind::tombstoned);
+        const bool says_not_run = item.ran == base::execution_state::not_run &&
+                                  (item.what == event_record::kind::refused ||
+                                   item.what == event_record::kind::tombstoned);
         found.not_run += says_not_run ? 1 : 0;
         found.answered += item.what == event_record::kind::answered ? 1 : 0;
         found.unknown += item.what == event_record::kind::refused && !says_not_run ? 1 : 0;
--- a/tests/once_world.h
+++ b/tests/once_world.h
@@ -46,7 +46,7 @@
     std::int64_t order = 0;
     std::string key;
     std::string attempt;
-    base::ran ran = base::ran::unknown;
+    base::execution_state ran = base::execution_state::unknown;
     base::code number{};
     base::instant deadline;
     std::string text;
--- a/tests/proxy_world.cpp
+++ b/tests/proxy_world.cpp
@@ -209,7 +209,7 @@
               [](const base::upstream_instance&, base::micros) {},
               [](const base::upstream_instance&, const base::model_id&, std::int64_t) {},
               [this](const base::upstream_instance& upstream) {
-                  this->told.emplace_back(peering::upstream_leaving{upstream});
+                  this->told.emplace_back(peering::upstream_draining{upstream});
               },
               [this](const proxy::broken_attempt& broken) { this->crashes.note_broken(broken); }},
       crashes(this->context),
--- a/tests/proxy_world.h
+++ b/tests/proxy_world.h
@@ -140,7 +140,7 @@
 
     adapters::event_loop loop;
     settings::proxy_settings settings;
-    ports::dialect words;
+    ports::platform_codec words;
     std::array<int, 2> log_pipe{};
     adapters::event_log log;
     adapters::metrics metrics;
--- a/tests/report/policies.cpp
+++ b/tests/report/policies.cpp
@@ -111,7 +111,8 @@
             const std::size_t shared = asked.chain->size() > 1 ? asked.chain->size() - 2 : 0;
             const std::uint64_t prefix = (*asked.chain)[shared].key;
             return cheapest(asked, count_of(recorded, asked.pool), [&](std::size_t engine) {
-                return -static_cast<double>(routing::score(base::mix(engine + 1, 7), prefix));
+                return -static_cast<double>(
+                    routing::score(base::combine_hashes(engine + 1, 7), prefix));
             });
         };
         return made;
--- a/tests/report/trace_maker.cpp
+++ b/tests/report/trace_maker.cpp
@@ -23,7 +23,7 @@
     for (std::size_t rank = 1; rank <= count; ++rank) {
         total += 1.0 / std::pow(static_cast<double>(rank), exponent);
     }
-    double left = base::unit(random) * total;
+    double left = base::random_unit(random) * total;
     for (std::size_t rank = 1; rank <= count; ++rank) {
         left -= 1.0 / std::pow(static_cast<double>(rank), exponent);
         if (left <= 0) {
@@ -35,7 +35,7 @@
 
 std::int64_t between(random_source& random, std::int64_t low, std::int64_t high) {
     return low + static_cast<std::int64_t>(
-                     base::below(random, static_cast<std::uint64_t>(high - low + 1)));
+                     base::random_below(random, static_cast<std::uint64_t>(high - low + 1)));
 }
 
 std::uint64_t key_of(const std::string& text) {
@@ -82,7 +82,7 @@
     const micros shift = seconds(30);
     for (micros when{0}; when < seconds(60);) {
         when += micros(static_cast<std::int64_t>(
-            base::exponential(random, microseconds_a_second / rate.at(when))));
+            base::random_exponential(random, microseconds_a_second / rate.at(when))));
         // The hot agencies change once: a cruise ship comes in where a flight has just left.
         const std::size_t rank = zipf(random, agencies, 1.1);
         const std::size_t agency = when < shift ? rank : (rank + 13) % agencies;
@@ -92,7 +92,7 @@
             name + "/history-" + std::to_string(history) + "/" + std::to_string(when / seconds(20));
         replay::request item;
         item.at = when;
-        item.pool = base::below(random, 8) == 0 ? 1 : 0;
+        item.pool = base::random_below(random, 8) == 0 ? 1 : 0;
         const std::string scope = std::to_string(item.pool) + "/";
         item.team.value = "team-" + std::to_string(agency % teams);
         item.priority = item.pool == 1 ? 9 : 5;
@@ -102,7 +102,7 @@
             shared + 600 + static_cast<std::int64_t>(key_of(history_name) % 1400);
         item.chain = {{key_of(scope + name), {shared}},
                       {key_of(scope + history_name), {own}},
-                      {base::next(random) >> 12U, {own + between(random, 40, 200)}}};
+                      {base::random_bits(random) >> 12U, {own + between(random, 40, 200)}}};
         item.output_tokens = between(random, 10, 40);
         made.requests.push_back(std::move(item));
     }
@@ -126,13 +126,13 @@
     int log_number = 0;
     for (micros when{0}; when < seconds(90);) {
         when += micros(static_cast<std::int64_t>(
-            base::exponential(random, microseconds_a_second / rate.at(when))));
+            base::random_exponential(random, microseconds_a_second / rate.at(when))));
         // One batch: its log is read against the recipe's notes, and asked about several times.
         const std::size_t rank = zipf(random, recipes, 1.3);
         const std::size_t recipe = when < shift ? rank : (rank + 2) % recipes;
         const std::string name = "recipe-" + std::to_string(recipe);
         const std::string log = name + "/log-" + std::to_string(++log_number);
-        const bool line = base::below(random, 10) == 0;
+        const bool line = base::random_below(random, 10) == 0;
         const std::string scope = line ? "line/" : "batch/";
         const std::int64_t notes = 5000 + static_cast<std::int64_t>(key_of(name) % 3000);
         const std::int64_t length = notes + between(random, 4000, 12000);
@@ -147,7 +147,7 @@
             item.target = seconds(2);
             item.chain = {{key_of(scope + name), {notes}},
                           {key_of(scope + log), {length}},
-                          {base::next(random) >> 12U, {length + between(random, 30, 120)}}};
+                          {base::random_bits(random) >> 12U, {length + between(random, 30, 120)}}};
             item.output_tokens = between(random, 5, 30);
             made.requests.push_back(std::move(item));
             ask += base::milliseconds(between(random, 800, 4000));
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -162,7 +162,8 @@
 }
 
 void callers::begin_call(const std::shared_ptr<caller>& one) {
-    const auto pause = static_cast<std::int64_t>(base::exponential(this->random, mean_pause_ms));
+    const auto pause =
+        static_cast<std::int64_t>(base::random_exponential(this->random, mean_pause_ms));
     this->loop->after(base::milliseconds(pause), [this, one] {
         if (this->stopping) {
             return;
@@ -171,8 +172,8 @@
         one->reader = http::response_reader({});
         one->call = {};
         one->call.id = this->name + "-" + std::to_string(++this->calls);
-        one->call.kind = static_cast<call_kind>(base::below(this->random, 4));
-        one->call.key = this->keys.at(base::below(this->random, this->keys.size()));
+        one->call.kind = static_cast<call_kind>(base::random_below(this->random, 4));
+        one->call.key = this->keys.at(base::random_below(this->random, this->keys.size()));
         this->make_fatal(one->call);
         this->make_popular(one->call);
         this->make_prompt(one->call);
@@ -189,7 +190,7 @@
 
 void callers::make_fatal(call_seen& call) {
     if (adapters::boot_now() >= this->fatal_until ||
-        base::below(this->random, calls_a_fatal_one) > 0) {
+        base::random_below(this->random, calls_a_fatal_one) > 0) {
         return;
     }
     call.fatal = true;
@@ -198,7 +199,7 @@
 }
 
 void callers::make_popular(call_seen& call) {
-    if (!this->popular || call.fatal || base::below(this->random, calls_a_popular_one) > 0) {
+    if (!this->popular || call.fatal || base::random_below(this->random, calls_a_popular_one) > 0) {
         return;
     }
     call.popular = true;
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -91,12 +91,12 @@
         plan.push_back({at, quiet_span, fault_kind::engines_lost_together, 0});
         return;
     }
-    if (base::below(random, 2) > 0) {
+    if (base::random_below(random, 2) > 0) {
         plan.push_back({at, quiet_span, fault_kind::fatal_requests, 0});
         return;
     }
     const auto engines = static_cast<std::uint64_t>(size.engines);
-    const int leaving = static_cast<int>(base::below(random, engines));
+    const int leaving = static_cast<int>(base::random_below(random, engines));
     plan.push_back({at, quiet_span, fault_kind::engine_says_leaving, leaving});
     plan.push_back({at, quiet_span, fault_kind::engine_asks_for_pause,
                     (leaving + 1) % static_cast<int>(engines)});
@@ -110,8 +110,8 @@
     base::random_source random{seed ^ naming_stream};
     const auto at = size.length + calm_before_quiet + quiet_span + calm_before_quiet;
     const auto spread = static_cast<std::uint64_t>(longest_pause_ms - shortest_pause_ms);
-    const int span = shortest_pause_ms + static_cast<int>(base::below(random, spread));
-    const int skipped = static_cast<int>(base::below(random, 2));
+    const int span = shortest_pause_ms + static_cast<int>(base::random_below(random, spread));
+    const int skipped = static_cast<int>(base::random_below(random, 2));
     plan.push_back({at, base::milliseconds(span), fault_kind::weights_named_in_pause, skipped});
 }
 
@@ -121,20 +121,22 @@
     base::random_source random{seed};
     std::vector<planned_fault> plan;
     // Some runs have nothing but planned work, in which nothing at all may be cut.
-    const bool only_planned = base::below(random, 4) == 0;
+    const bool only_planned = base::random_below(random, 4) == 0;
     double at = 0;
     while (true) {
-        at += base::exponential(random, static_cast<double>(size.pause.count()));
+        at += base::random_exponential(random, static_cast<double>(size.pause.count()));
         if (at >= static_cast<double>(size.length.count())) {
             add_quiet_faults(plan, seed, size);
             add_naming(plan, seed, size);
             return plan;
         }
-        const auto kind = static_cast<fault_kind>(base::below(random, drawn_kinds));
-        const auto span = shortest_span_ms +
-                          static_cast<int>(base::below(random, longest_span_ms - shortest_span_ms));
+        const auto kind = static_cast<fault_kind>(base::random_below(random, drawn_kinds));
+        const auto span =
+            shortest_span_ms +
+            static_cast<int>(base::random_below(random, longest_span_ms - shortest_span_ms));
         const int among = is_of_engine(kind) ? size.engines : size.entries;
-        const int target = static_cast<int>(base::below(random, static_cast<std::uint64_t>(among)));
+        const int target =
+            static_cast<int>(base::random_below(random, static_cast<std::uint64_t>(among)));
         if (only_planned && !is_planned(kind)) {
             continue;
         }
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -30,7 +30,7 @@
         std::uint64_t hash = 0;
         const std::size_t block_bytes = block_tokens * bytes_a_token;
         for (std::size_t at = 0; at + block_bytes <= prompt.size(); at += block_bytes) {
-            hash = base::mix(hash, base::stable_hash(prompt.substr(at, block_bytes)));
+            hash = base::combine_hashes(hash, base::stable_hash(prompt.substr(at, block_bytes)));
             const auto known = this->places.find(hash);
             unbroken = unbroken && known != this->places.end();
             found += unbroken ? block_tokens : 0;
@@ -99,7 +99,9 @@
 
 // The token depends on the prompt and the place alone, so another engine can go on with it.
 std::string token_at(const generation& made, std::int64_t place) {
-    return "w" + std::to_string(base::mix(made.seed, static_cast<std::uint64_t>(place)) % 1000) +
+    return "w" +
+           std::to_string(base::combine_hashes(made.seed, static_cast<std::uint64_t>(place)) %
+                          1000) +
            " ";
 }
 
