--- a/src/base/base64.cpp
+++ b/src/base/base64.cpp
@@ -9,7 +9,7 @@
     sodium_bin2base64(text.data(), text.size(),
                       reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(),
                       sodium_base64_VARIANT_ORIGINAL);
-    text.pop_back(); // the terminating zero
+    text.pop_back(); // Drops the terminating zero that libsodium writes.
     return text;
 }
 
--- a/src/base/base64.h
+++ b/src/base/base64.h
@@ -6,10 +6,10 @@
 
 namespace camphorrail::base {
 
-// Standard base64 with padding.
+// Encodes bytes in standard base64 with padding.
 std::string to_base64(std::string_view bytes);
 
-// Nothing where the text is not base64.
+// Decodes standard base64 with padding; nullopt if the text is not valid base64.
 std::optional<std::string> from_base64(std::string_view text);
 
 } // namespace camphorrail::base
--- a/src/base/codes.h
+++ b/src/base/codes.h
@@ -6,12 +6,12 @@
 
 namespace camphorrail::base {
 
-// Whether the request that an answer refuses has run. A refusal says `not_run` only where the
-// attempt can no longer run either.
+// Whether a rejected request was executed. `not_run` also guarantees that the attempt can no longer
+// be executed later.
 enum class execution_state { not_run, unknown, completed };
 
-// Numbered result codes. docs/RESULT-CODES.md lists them for operators; a test holds both equal.
-// A number, once given out, keeps its meaning.
+// Numbered result codes. docs/RESULT-CODES.md documents them for operators, and a unit test
+// compares that table with code_table(). A number is never reused for another meaning.
 enum class code {
     settings_unreadable = 101,
     settings_syntax = 102,
@@ -77,7 +77,7 @@
     outcome_missed = 802,
 };
 
-// What is published of one code.
+// The documentation of one code. `http_status` is 0 for codes that are never sent in a response.
 struct code_entry {
     code number;
     std::string_view name;
@@ -85,10 +85,10 @@
     std::string_view text;
 };
 
-// All codes in the order of their numbers.
+// All codes, sorted by number.
 std::span<const code_entry> code_table();
 
-// The published entry of a code.
+// The entry of a code in code_table(); an "unlisted" entry with status 500 if there is none.
 const code_entry& describe(code number);
 
 std::string_view to_string(execution_state value);
@@ -96,7 +96,7 @@
 const std::error_category& code_category();
 std::error_code make_error_code(code number);
 
-// The code inside an error made by make_error_code. Errors of other libraries never get this far.
+// The code of an error made by make_error_code. Must not be called for other error categories.
 code to_code(const std::error_code& error);
 
 } // namespace camphorrail::base
--- a/src/base/codes_tests.cpp
+++ b/src/base/codes_tests.cpp
@@ -10,7 +10,7 @@
 using namespace camphorrail;
 
 TEST_CASE("result codes", "[base]") {
-    SECTION("are numbered once each, in order") {
+    SECTION("have unique numbers in ascending order") {
         int last = 0;
         for (const auto& entry : base::code_table()) {
             CHECK(static_cast<int>(entry.number) > last);
@@ -18,7 +18,7 @@
         }
     }
 
-    SECTION("stand in the operators' table with the same number, name, status and text") {
+    SECTION("match the documented table in number, name, status and text") {
         std::ifstream page(CAMPHORRAIL_SOURCE_DIR "/docs/RESULT-CODES.md");
         REQUIRE(page.good());
         std::set<std::string> rows;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -7,7 +7,7 @@
 
 namespace camphorrail::base {
 
-// A name that can't be mistaken for a name of another kind. Tag is only ever declared.
+// Strongly typed string identifier. `Tag` is declared but never defined.
 template <class Tag>
 struct id {
     std::string value;
@@ -23,13 +23,14 @@
 using entry_id = id<struct entry_tag>;
 using availability_zone = id<struct availability_zone_tag>;
 
-// The caller's Idempotency-Key, already bound to its team, so that two teams never share one.
+// A client's Idempotency-Key, qualified by its team so that keys of two teams never collide.
 using idempotency_key = id<struct idempotency_key_tag>;
 
-// One attempt at one request; unique over all entries (the entry's name, its start and a counter).
+// One attempt at one request. Unique over all entries: it consists of the entry's name, its start
+// time and a counter.
 using attempt_id = id<struct attempt_tag>;
 
-// Set of upstreams that run the same calls: the engines of a model, or the VMs of a plain service.
+// A set of interchangeable upstreams: the engines of a model, or the VMs of a plain service.
 using pool_id = id<struct pool_tag>;
 
 // Version of the operators' configuration: the platform's revision of its last change.
@@ -39,16 +40,17 @@
     auto operator<=>(const config_version&) const = default;
 };
 
-// One life of an upstream, which may start again under its id, with empty caches and counts: the
-// Unix millisecond of its start, as it says itself. It only tells lives apart; clocks jump, so a
-// later one may be smaller. 0 where the upstream does not say.
+// Distinguishes the runs of an upstream, which restarts under the same id with empty caches and
+// counters. The value is the Unix time of its start in milliseconds, as the upstream reports it, or
+// 0 if it reports none. Clocks jump, so a later incarnation may have a smaller value: compare only
+// for equality.
 struct upstream_incarnation {
     std::int64_t value = 0;
 
     auto operator<=>(const upstream_incarnation&) const = default;
 };
 
-// One upstream in one of its lives.
+// One upstream in one of its incarnations.
 struct upstream_instance {
     upstream_id id;
     upstream_incarnation incarnation;
@@ -56,7 +58,7 @@
     auto operator<=>(const upstream_instance&) const = default;
 };
 
-// One life of a process. Counts up at each start and is never used again.
+// One run of a process. Incremented at each start and never reused.
 struct incarnation {
     std::int64_t value = 0;
 
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -6,7 +6,7 @@
 
 namespace camphorrail::base {
 
-// A value, or the numbered code that says why there is none.
+// A value, or the result code that explains why there is none.
 template <class T>
 using result = boost::outcome_v2::std_result<T>;
 
--- a/src/base/sender_clock.cpp
+++ b/src/base/sender_clock.cpp
@@ -10,9 +10,9 @@
     return std::min(*state.current_earliest_start, state.previous_earliest_start);
 }
 
-// The teller has started again: it has been running for less long than it had been before, and
-// since the last that was written then.
-bool is_new_life(const sender_clock& state, micros uptime, instant start) {
+// Whether the sender has restarted: its uptime is below the longest one seen, and its start is not
+// before the last message of the previous incarnation was sent.
+bool is_new_incarnation(const sender_clock& state, micros uptime, instant start) {
     return uptime < state.longest_uptime && start >= earliest_start(state) + state.longest_uptime;
 }
 
@@ -21,7 +21,7 @@
 instant estimate_sent_at(sender_clock& state, micros uptime, instant latest,
                          const sender_clock_rules& rules) {
     const instant start = latest - uptime;
-    if (!state.current_earliest_start || is_new_life(state, uptime, start)) {
+    if (!state.current_earliest_start || is_new_incarnation(state, uptime, start)) {
         state = {start, start, latest, uptime};
         return latest;
     }
--- a/src/base/sender_clock.h
+++ b/src/base/sender_clock.h
@@ -6,14 +6,15 @@
 
 namespace camphorrail::base {
 
-// When the messages of another entry were written, however long they lay unread or were passed on.
+// Estimates when the messages of another entry were sent, however long they were buffered or
+// relayed on the way.
 //
-// Each bears how long its teller had been running. Taken from the moment of reading, that gives
-// when the teller would have started if the message had taken no time; the earliest such moment is
-// the true one, but for the way of the quickest message. Clocks that run apart, or stand still with
-// their VM, do so slowly or seldom, so only the quickest of the last messages counts.
+// Each message carries its sender's uptime. The receive time less the uptime gives the sender's
+// start as if the message had taken no time; the earliest such value is the most accurate one, off
+// only by the transit time of the fastest message. Clocks that drift, or stop with their VM, do so
+// slowly or seldom, so only the fastest of the recent messages counts.
 struct sender_clock {
-    // The earliest start by the messages of the present period, and of the one before.
+    // Earliest start time derived from the messages of the current period, and of the previous one.
     std::optional<instant> current_earliest_start;
     instant previous_earliest_start{};
     instant period_start{};
@@ -22,12 +23,13 @@
 
 struct sender_clock_rules {
     micros period = seconds(10);
-    // No message lies unread for longer. One that seems to is of an earlier life of its teller.
+    // Upper bound on the transit time of a message. A message that seems older was sent by an
+    // earlier incarnation of its sender.
     micros max_delay = seconds(10);
 };
 
-// When a message was written. `latest`: when it can have been written at the latest; that it was
-// read then is known, and how long others had it that passed it on.
+// Estimates when a message was sent. `latest` is the latest possible send time: the receive time,
+// less how long relaying entries held the message.
 instant estimate_sent_at(sender_clock& state, micros uptime, instant latest,
                          const sender_clock_rules& rules = {});
 
--- a/src/base/units.h
+++ b/src/base/units.h
@@ -5,10 +5,11 @@
 
 namespace camphorrail::base {
 
-// Every span of time in the decisions is in microseconds, real or virtual.
+// Durations in the decision logic are in microseconds, of real or simulated time.
 using micros = std::chrono::microseconds;
 
-// A point on the monotonic clock. Decisions are handed it and never ask for it.
+// A point on the monotonic clock. The decision logic takes the current time as a parameter and
+// never reads the clock, so that tests can simulate time.
 using instant = std::chrono::time_point<std::chrono::steady_clock, micros>;
 
 using std::chrono::milliseconds;
