--- a/src/ports/clock.h
+++ b/src/ports/clock.h
@@ -7,15 +7,15 @@
 
 namespace camphorrail::ports {
 
-// Time as a process sees it; a bench hands in its own.
+// Clock of a process. Simulations and tests provide their own.
 struct clock {
-    // The monotonic clock, which leases and deadlines are checked on.
+    // Monotonic time; leases and deadlines are checked against it.
     std::function<base::instant()> now;
-    // Milliseconds since 1970, for what other processes or later lives read.
+    // Unix time in milliseconds, for data that other processes or later incarnations read.
     std::function<std::int64_t()> wall_ms;
 };
 
-// Calls back once after a delay, on the loop's thread.
+// Calls a function once after a delay, on the event loop's thread.
 struct timers {
     std::function<void(base::micros, std::function<void()>)> after;
 };
--- a/src/ports/upstream.h
+++ b/src/ports/upstream.h
@@ -19,24 +19,24 @@
     std::string body;
 };
 
-// How an upstream's answer arrives. After `failed` or `ended` nothing more comes.
+// Callbacks for an upstream's response. None is called after `failed` or `ended`.
 struct response_handler {
     std::function<void(int status, std::string content_type)> started;
     std::function<void(std::string bytes)> received;
-    // The answer's framing ended as HTTP says it must.
+    // The response is complete according to HTTP message framing.
     std::function<void()> ended;
-    // upstream_unreachable: the call never left. Any other code: it may have run.
+    // upstream_unreachable: the call was not sent. Any other code: it may have been executed.
     std::function<void(base::code)> failed;
 };
 
-// A call under way.
+// Controls a call in flight. `pause` and `resume` apply to receiving its response.
 struct call_handle {
     std::function<void()> cancel;
     std::function<void()> pause;
     std::function<void()> resume;
 };
 
-// The back end beside an agent.
+// The back end that an agent sends calls to.
 struct upstream {
     std::function<call_handle(upstream_call, response_handler)> send;
 };
