--- a/src/peering/messages.cpp
+++ b/src/peering/messages.cpp
@@ -12,8 +12,8 @@
     return {instance.id.value, instance.incarnation.value};
 }
 
-base::upstream_instance read_instance(const json& read) {
-    return {{read.at(0).get<std::string>()}, {read.at(1).get<std::int64_t>()}};
+base::upstream_instance read_instance(const json& value) {
+    return {{value.at(0).get<std::string>()}, {value.at(1).get<std::int64_t>()}};
 }
 
 json to_json(const handshake& message) {
@@ -41,10 +41,10 @@
     return {changes.revision, items};
 }
 
-ports::changes read_changes(const json& read) {
+ports::changes read_changes(const json& value) {
     ports::changes changes;
-    changes.revision = read.at(0).get<std::int64_t>();
-    for (const auto& item : read.at(1)) {
+    changes.revision = value.at(0).get<std::int64_t>();
+    for (const auto& item : value.at(1)) {
         changes.items.push_back({{item.at(0).get<std::string>(), item.at(1).get<std::string>(),
                                   item.at(2).get<std::int64_t>()},
                                  item.at(3).get<bool>()});
@@ -52,27 +52,28 @@
     return changes;
 }
 
-// Null where it is not known.
+// JSON null if the age is unknown.
 json to_json(const std::optional<base::micros>& age) {
     return age ? json(age->count()) : json();
 }
 
-std::optional<base::micros> read_age(const json& read) {
-    return read.is_null() ? std::nullopt : std::optional(base::micros(read.get<std::int64_t>()));
+std::optional<base::micros> read_age(const json& value) {
+    return value.is_null() ? std::nullopt : std::optional(base::micros(value.get<std::int64_t>()));
 }
 
-json to_json(const target_weights& named) {
-    return {named.model.value, named.version, to_json(named.age)};
+json to_json(const target_weights& target) {
+    return {target.model.value, target.version, to_json(target.age)};
 }
 
-target_weights read_weights_named(const json& read) {
-    return {{read.at(0).get<std::string>()}, read.at(1).get<std::int64_t>(), read_age(read.at(2))};
+target_weights read_target_weights(const json& value) {
+    return {
+        {value.at(0).get<std::string>()}, value.at(1).get<std::int64_t>(), read_age(value.at(2))};
 }
 
 json to_json(const store_view& message) {
-    json named = json::array();
+    json targets = json::array();
     for (const auto& each : message.targets) {
-        named.push_back(to_json(each));
+        targets.push_back(to_json(each));
     }
     return {"view",
             message.query_id,
@@ -81,7 +82,7 @@
             to_json(message.complete_age),
             message.complete,
             changes_to_json(message.changes),
-            named};
+            targets};
 }
 
 json to_json(const store_changes& message) {
@@ -93,9 +94,9 @@
     return {sample.work.to_read, sample.work.ahead, sample.work.pairs, sample.ms};
 }
 
-latency::first_byte_sample read_sample(const json& read) {
-    return {{read.at(0).get<double>(), read.at(1).get<double>(), read.at(2).get<double>()},
-            read.at(3).get<double>()};
+latency::first_byte_sample read_sample(const json& value) {
+    return {{value.at(0).get<double>(), value.at(1).get<double>(), value.at(2).get<double>()},
+            value.at(3).get<double>()};
 }
 
 json to_json(const kvcache::prompt_read& read) {
@@ -132,7 +133,7 @@
 json to_json(const entry_load& load);
 
 template <class Part>
-json list_of(const std::vector<Part>& parts) {
+json to_json_array(const std::vector<Part>& parts) {
     json list = json::array();
     for (const auto& each : parts) {
         list.push_back(to_json(each));
@@ -141,13 +142,19 @@
 }
 
 json to_json(const entry_load& load) {
-    return {load.from.value,     load.age.count(),    load.report_interval.count(),
-            load.complete,       list_of(load.items), list_of(load.transfers),
-            list_of(load.reads), load.uptime.count(), list_of(load.usage)};
+    return {load.from.value,
+            load.age.count(),
+            load.report_interval.count(),
+            load.complete,
+            to_json_array(load.items),
+            to_json_array(load.transfers),
+            to_json_array(load.reads),
+            load.uptime.count(),
+            to_json_array(load.usage)};
 }
 
 json to_json(const load_report& message) {
-    return {"load", list_of(message.loads)};
+    return {"load", to_json_array(message.loads)};
 }
 
 json to_json(const kv_store_contents& message) {
@@ -158,12 +165,13 @@
     return {"kept", message.store, message.complete, message.unreachable, parts};
 }
 
-quarantine::request_identity read_identity(const json& read) {
-    return {{read.at(0).get<std::string>()}, read.at(1).get<std::size_t>()};
+quarantine::request_identity read_identity(const json& value) {
+    return {{value.at(0).get<std::string>()}, value.at(1).get<std::size_t>()};
 }
 
 json to_json(const crash_report& message) {
-    return {"crash", to_json(message.upstream), message.age.count(), list_of(message.victims)};
+    return {"crash", to_json(message.upstream), message.age.count(),
+            to_json_array(message.victims)};
 }
 
 json to_json(const quarantine_notice& message) {
@@ -174,11 +182,11 @@
     return {"leaving", to_json(message.upstream), message.age.count()};
 }
 
-crash_report read_crash(const json& read) {
+crash_report read_crash_report(const json& value) {
     crash_report crash;
-    crash.upstream = read_instance(read.at(1));
-    crash.age = base::micros(read.at(2).get<std::int64_t>());
-    for (const auto& each : read.at(3)) {
+    crash.upstream = read_instance(value.at(1));
+    crash.age = base::micros(value.at(2).get<std::int64_t>());
+    for (const auto& each : value.at(3)) {
         crash.victims.push_back({read_identity(each.at(0)),
                                  base::micros(each.at(1).get<std::int64_t>()),
                                  base::micros(each.at(2).get<std::int64_t>())});
@@ -186,174 +194,176 @@
     return crash;
 }
 
-kvcache::prompt_read read_prompt_read(const json& read) {
+kvcache::prompt_read read_prompt_read(const json& value) {
     kvcache::prompt_read one;
-    for (const auto& level : read.at(0)) {
+    for (const auto& level : value.at(0)) {
         one.levels.push_back({level.at(0).get<std::uint64_t>(), level.at(1).get<std::int64_t>()});
     }
     if (one.levels.empty()) {
-        throw std::invalid_argument("a reading of nothing");
+        throw std::invalid_argument("prompt read without levels");
     }
-    one.own_tokens = read.at(1).get<std::int64_t>();
-    one.weights = read.at(2).get<std::int64_t>();
-    one.by = read_instance(read.at(3));
-    one.saved = read.at(4).get<bool>();
-    one.shown = read_sample(read.at(5));
+    one.own_tokens = value.at(1).get<std::int64_t>();
+    one.weights = value.at(2).get<std::int64_t>();
+    one.by = read_instance(value.at(3));
+    one.saved = value.at(4).get<bool>();
+    one.shown = read_sample(value.at(5));
     return one;
 }
 
-kv_store_contents read_kept(const json& read) {
-    kv_store_contents kept;
-    kept.store = read.at(1).get<std::string>();
-    kept.complete = read.at(2).get<bool>();
-    kept.unreachable = read.at(3).get<bool>();
-    for (const auto& each : read.at(4)) {
-        kept.parts.push_back({each.at(0).get<std::uint64_t>(), each.at(1).get<std::int64_t>()});
+kv_store_contents read_kv_store_contents(const json& value) {
+    kv_store_contents contents;
+    contents.store = value.at(1).get<std::string>();
+    contents.complete = value.at(2).get<bool>();
+    contents.unreachable = value.at(3).get<bool>();
+    for (const auto& each : value.at(4)) {
+        contents.parts.push_back({each.at(0).get<std::uint64_t>(), each.at(1).get<std::int64_t>()});
     }
-    return kept;
+    return contents;
 }
 
-store_view read_view(const json& read) {
+store_view read_store_view(const json& value) {
     store_view view;
-    view.query_id = read.at(1).get<std::int64_t>();
-    view.confirmed = read.at(2).get<bool>();
-    view.age = base::micros(read.at(3).get<std::int64_t>());
-    view.complete_age = read_age(read.at(4));
-    view.complete = read.at(5).get<bool>();
-    view.changes = read_changes(read.at(6));
-    for (const auto& each : read.at(7)) {
-        view.targets.push_back(read_weights_named(each));
+    view.query_id = value.at(1).get<std::int64_t>();
+    view.confirmed = value.at(2).get<bool>();
+    view.age = base::micros(value.at(3).get<std::int64_t>());
+    view.complete_age = read_age(value.at(4));
+    view.complete = value.at(5).get<bool>();
+    view.changes = read_changes(value.at(6));
+    for (const auto& each : value.at(7)) {
+        view.targets.push_back(read_target_weights(each));
     }
     return view;
 }
 
-upstream_load read_load_item(const json& read) {
-    const fleet::workload work{read.at(1).get<std::int64_t>(), read.at(2).get<std::int64_t>(),
-                               read.at(3).get<std::int64_t>(), read.at(4).get<std::int64_t>(),
-                               read.at(5).get<std::int64_t>()};
-    return {read_instance(read.at(0)), work, base::milliseconds(read.at(6).get<std::int64_t>())};
+upstream_load read_upstream_load(const json& value) {
+    const fleet::workload work{value.at(1).get<std::int64_t>(), value.at(2).get<std::int64_t>(),
+                               value.at(3).get<std::int64_t>(), value.at(4).get<std::int64_t>(),
+                               value.at(5).get<std::int64_t>()};
+    return {read_instance(value.at(0)), work, base::milliseconds(value.at(6).get<std::int64_t>())};
 }
 
-quota::usage_count read_usage(const json& read) {
-    return {{read.at(0).get<std::string>()},
-            read.at(1).get<std::int64_t>(),
-            base::micros(read.at(2).get<std::int64_t>()),
-            {read.at(3).get<std::int64_t>()},
-            {read.at(4).get<std::int64_t>()}};
+quota::usage_count read_usage_count(const json& value) {
+    return {{value.at(0).get<std::string>()},
+            value.at(1).get<std::int64_t>(),
+            base::micros(value.at(2).get<std::int64_t>()),
+            {value.at(3).get<std::int64_t>()},
+            {value.at(4).get<std::int64_t>()}};
 }
 
-entry_load read_told_load(const json& read) {
+entry_load read_entry_load(const json& value) {
     entry_load load;
-    load.from = {read.at(0).get<std::string>()};
-    load.age = base::milliseconds(read.at(1).get<std::int64_t>());
-    load.report_interval = base::milliseconds(read.at(2).get<std::int64_t>());
-    load.complete = read.at(3).get<bool>();
-    for (const auto& item : read.at(4)) {
-        load.items.push_back(read_load_item(item));
+    load.from = {value.at(0).get<std::string>()};
+    load.age = base::milliseconds(value.at(1).get<std::int64_t>());
+    load.report_interval = base::milliseconds(value.at(2).get<std::int64_t>());
+    load.complete = value.at(3).get<bool>();
+    for (const auto& item : value.at(4)) {
+        load.items.push_back(read_upstream_load(item));
     }
-    for (const auto& each : read.at(5)) {
+    for (const auto& each : value.at(5)) {
         load.transfers.push_back({each.at(0).get<std::string>(), each.at(1).get<double>()});
     }
-    for (const auto& each : read.at(6)) {
+    for (const auto& each : value.at(6)) {
         load.reads.push_back(read_prompt_read(each));
     }
-    load.uptime = base::milliseconds(read.at(7).get<std::int64_t>());
-    for (const auto& each : read.at(8)) {
-        load.usage.push_back(read_usage(each));
+    load.uptime = base::milliseconds(value.at(7).get<std::int64_t>());
+    for (const auto& each : value.at(8)) {
+        load.usage.push_back(read_usage_count(each));
     }
     return load;
 }
 
-load_report read_load(const json& read) {
-    load_report load;
-    for (const auto& each : read.at(1)) {
-        load.loads.push_back(read_told_load(each));
+load_report read_load_report(const json& value) {
+    load_report report;
+    for (const auto& each : value.at(1)) {
+        report.loads.push_back(read_entry_load(each));
     }
-    return load;
+    return report;
 }
 
-message read_message(const json& read) {
-    const std::string kind = read.at(0).get<std::string>();
+message read_message(const json& value) {
+    const std::string kind = value.at(0).get<std::string>();
     if (kind == "hello") {
-        return handshake{{read.at(1).get<std::string>()},
-                         {read.at(2).get<std::string>()},
-                         read.at(3).get<std::int64_t>()};
+        return handshake{{value.at(1).get<std::string>()},
+                         {value.at(2).get<std::string>()},
+                         value.at(3).get<std::int64_t>()};
     }
     if (kind == "suspicion") {
-        return suspicion{read_instance(read.at(1)),
-                         base::milliseconds(read.at(2).get<std::int64_t>()),
-                         read.at(3).get<std::string>(), read.at(4).get<bool>()};
+        return suspicion{read_instance(value.at(1)),
+                         base::milliseconds(value.at(2).get<std::int64_t>()),
+                         value.at(3).get<std::string>(), value.at(4).get<bool>()};
     }
     if (kind == "weights") {
-        return loaded_weights{read_instance(read.at(1)),
-                              {read.at(2).get<std::string>()},
-                              read.at(3).get<std::int64_t>()};
+        return loaded_weights{read_instance(value.at(1)),
+                              {value.at(2).get<std::string>()},
+                              value.at(3).get<std::int64_t>()};
     }
     if (kind == "load") {
-        return read_load(read);
+        return read_load_report(value);
     }
     if (kind == "ask") {
-        return store_query{read.at(1).get<std::int64_t>(), read.at(2).get<std::int64_t>()};
+        return store_query{value.at(1).get<std::int64_t>(), value.at(2).get<std::int64_t>()};
     }
     if (kind == "view") {
-        return read_view(read);
+        return read_store_view(value);
     }
     if (kind == "changes") {
-        return store_changes{read.at(1).get<std::int64_t>(),
-                             read.at(2).get<std::set<std::string>>(), read_changes(read.at(3))};
+        return store_changes{value.at(1).get<std::int64_t>(),
+                             value.at(2).get<std::set<std::string>>(), read_changes(value.at(3))};
     }
     if (kind == "kept") {
-        return read_kept(read);
+        return read_kv_store_contents(value);
     }
     if (kind == "crash") {
-        return read_crash(read);
+        return read_crash_report(value);
     }
     if (kind == "hold") {
-        return quarantine_notice{read_identity(read.at(1)),
-                                 base::milliseconds(read.at(2).get<std::int64_t>())};
+        return quarantine_notice{read_identity(value.at(1)),
+                                 base::milliseconds(value.at(2).get<std::int64_t>())};
     }
     if (kind == "leaving") {
-        return upstream_draining{read_instance(read.at(1)),
-                                 base::micros(read.at(2).get<std::int64_t>())};
+        return upstream_draining{read_instance(value.at(1)),
+                                 base::micros(value.at(2).get<std::int64_t>())};
     }
-    throw std::invalid_argument("no such message");
+    throw std::invalid_argument("unknown message kind");
 }
 
 } // namespace
 
-crash_report to_message(const quarantine::crash_report& report, base::instant written) {
-    crash_report told{report.upstream, written - report.at, {}};
+crash_report to_message(const quarantine::crash_report& report, base::instant sent_at) {
+    crash_report message{report.upstream, sent_at - report.at, {}};
     for (const auto& each : report.victims) {
-        const base::micros begun_ago = each.begun_at ? written - *each.begun_at : base::micros(-1);
-        told.victims.push_back({each.request, written - each.sent_at, begun_ago});
+        const base::micros response_started_ago =
+            each.begun_at ? sent_at - *each.begun_at : base::micros(-1);
+        message.victims.push_back({each.request, sent_at - each.sent_at, response_started_ago});
     }
-    return told;
+    return message;
 }
 
-quarantine::crash_report from_message(const crash_report& told, base::instant written) {
-    quarantine::crash_report report{told.upstream, written - told.age, {}};
-    for (const auto& each : told.victims) {
-        quarantine::crash_victim victim{each.request, written - each.sent_ago, {}};
+quarantine::crash_report from_message(const crash_report& message, base::instant sent_at) {
+    quarantine::crash_report report{message.upstream, sent_at - message.age, {}};
+    for (const auto& each : message.victims) {
+        quarantine::crash_victim victim{each.request, sent_at - each.sent_ago, {}};
         if (each.response_started_ago >= base::micros(0)) {
-            victim.begun_at = written - each.response_started_ago;
+            victim.begun_at = sent_at - each.response_started_ago;
         }
         report.victims.push_back(std::move(victim));
     }
     return report;
 }
 
-std::string encode(const frame& sent) {
-    const json told = std::visit([](const auto& each) { return to_json(each); }, sent.payload);
-    const json written = {sent.uptime.count(), told};
+std::string encode(const frame& outgoing) {
+    const json payload =
+        std::visit([](const auto& each) { return to_json(each); }, outgoing.payload);
+    const json encoded = {outgoing.uptime.count(), payload};
     std::string bytes;
-    json::to_cbor(written, nlohmann::detail::output_adapter<char>(bytes));
+    json::to_cbor(encoded, nlohmann::detail::output_adapter<char>(bytes));
     return bytes;
 }
 
 base::result<frame> decode(std::string_view bytes) {
     try {
-        const json read = json::from_cbor(bytes);
-        return frame{read_message(read.at(1)), base::micros(read.at(0).get<std::int64_t>())};
+        const json decoded = json::from_cbor(bytes);
+        return frame{read_message(decoded.at(1)), base::micros(decoded.at(0).get<std::int64_t>())};
     } catch (const std::exception&) {
         return base::code::frame_malformed;
     }
--- a/src/peering/messages.h
+++ b/src/peering/messages.h
@@ -18,168 +18,174 @@
 #include <variant>
 #include <vector>
 
-// What the entries of one deployment say to each other over their links.
+// Messages that the entries of one deployment exchange over their links.
 namespace camphorrail::peering {
 
-// The first message on a link: who is at the other end.
+// The first message on a link; identifies its sender.
 struct handshake {
     base::entry_id from;
     base::availability_zone zone;
-    // Another one after each start of that entry.
+    // Differs after each start of that entry.
     std::int64_t incarnation = 0;
 };
 
-// An upstream takes nothing new for a while.
+// The upstream should receive no new requests for `duration`.
 struct suspicion {
     base::upstream_instance upstream;
     base::milliseconds duration{0};
     std::string reason;
-    // It changes weights, and may cut off what it can't finish.
+    // The upstream is changing weights and may abort requests that it can't complete.
     bool changing_weights = false;
 };
 
-// An upstream holds these weights now; said before the platform's list does.
+// An upstream has loaded these weights. Sent before the platform's list shows them.
 struct loaded_weights {
     base::upstream_instance upstream;
     base::model_id model;
     std::int64_t version = 0;
 };
 
-// What an entry has under way at one upstream; nothing in flight where that has ended.
+// An entry's in-flight work at one upstream. All zero once that work has ended.
 struct upstream_load {
     base::upstream_instance upstream;
     fleet::workload work;
-    // How long ago the upstream last sent that entry a byte.
+    // Time since that entry received the last byte from the upstream.
     base::milliseconds last_byte_age{0};
 };
 
-// What an entry has ordered of a store of kept KV cache since it last told.
+// Transfers that an entry has requested from a KV cache store since its last report.
 struct store_transfer {
     std::string store;
     double duration_ms = 0.0;
 };
 
-// What one entry has under way at upstreams, and what its requests have had read since it last
-// told.
+// One entry's in-flight work at upstreams, and the prompts that upstreams have read for its
+// requests since its last report.
 struct entry_load {
     base::entry_id from;
-    // How long ago it said so, where another entry passes it on.
+    // Time since that entry reported it, if another entry relays it.
     base::milliseconds age{0};
-    // It tells all again within this time.
+    // The entry sends its next complete report within this time.
     base::milliseconds report_interval{0};
-    // All upstreams at which it has something under way, or those where that has changed.
+    // Whether `items` lists all upstreams with in-flight work, or only those whose work has
+    // changed.
     bool complete = false;
     std::vector<upstream_load> items;
     std::vector<store_transfer> transfers;
     std::vector<kvcache::prompt_read> reads;
-    // How long it has been running, and what it has let through of teams' quotas.
+    // Uptime of the entry, and the use of teams' quotas by requests that it has admitted.
     base::milliseconds uptime{0};
     std::vector<quota::usage_count> usage;
 };
 
-// The sender's own load, and those of entries of other zones that it passes on.
+// The sender's own load, and the loads of entries of other availability zones that it relays.
 struct load_report {
     std::vector<entry_load> loads;
 };
 
-// What a store of kept KV cache holds, by its own events: all of it, or what has changed.
+// The contents of a KV cache store according to its events: all of them if `complete`, otherwise
+// only the changes.
 struct kv_store_contents {
     std::string store;
     bool complete = false;
-    // The sender can't reach it.
+    // The sender can't reach the store.
     bool unreachable = false;
     std::vector<kvcache::kept_part> parts;
 };
 
-// A version of weights that was named, as one entry knows it.
+// A target version of a model's weights, as one entry knows it.
 struct target_weights {
     base::model_id model;
     std::int64_t version = 0;
-    // It was named within this time; nothing where the sender does not know.
+    // Upper bound on the time since the operators set the version; nullopt if the sender does not
+    // know.
     std::optional<base::micros> age;
 };
 
-// Asks for what the other end knows of the store. Asked by an entry that the store turns away.
+// Requests the receiver's view of the store. Sent by an entry that the store rejects.
 struct store_query {
     std::int64_t query_id = 0;
     std::int64_t revision = 0;
 };
 
-// What an entry knows of the store, and how old the proof of it is. Ages and no times of day:
-// clocks differ between VMs, and jump.
+// An entry's view of the store, and the time since the store confirmed it. Times are sent as ages,
+// since wall clocks differ between VMs and jump.
 struct store_view {
     std::int64_t query_id = 0;
     bool confirmed = false;
     base::micros age{0};
-    // How long ago the sender knew all that the store held; nothing where it never did.
+    // Time since the sender last knew the store's full contents; nullopt if it never did.
     std::optional<base::micros> complete_age;
-    // All that the store holds, or what has changed since the asker's revision.
+    // Whether `changes` holds the store's full contents, or only the changes since the revision of
+    // the query.
     bool complete = false;
     ports::changes changes;
-    // When weights were named that engines may still lack.
+    // Target versions of weights that engines may not have loaded yet.
     std::vector<target_weights> targets;
 };
 
-// What has changed in the store, from an entry that watches it. It proves nothing: it may have been
-// on its way for long.
+// Changes of the store, from an entry that watches it. They don't confirm that the view is current,
+// since the message may have been delayed for long.
 struct store_changes {
-    // The sender's revision before.
+    // The sender's revision before these changes.
     std::int64_t base_revision = 0;
-    // Items whose values are too large to be told by a few to all, and are left out of `changes`:
-    // whoever hears of them reads these keys from the store.
+    // Keys whose values are too large for a few entries to send to all others. They are missing
+    // from `changes`; each receiver reads them from the store.
     std::set<std::string> omitted_keys;
     ports::changes changes;
 };
 
-// A request that was under way at an upstream when it crashed.
+// A request that was in flight at an upstream when the upstream crashed.
 struct crash_victim {
     quarantine::request_identity request;
-    // How long ago it was sent there, and when its answer began; less than 0 where it had not.
+    // Time since the request was sent, and since its response started; the latter is negative if no
+    // response had started.
     base::micros sent_ago{0};
     base::micros response_started_ago{-1};
 };
 
-// An upstream has crashed, with these requests of the sender's on it.
+// An upstream has crashed while these requests of the sender were in flight at it.
 struct crash_report {
     base::upstream_instance upstream;
     base::micros age{0};
     std::vector<crash_victim> victims;
 };
 
-// A request is held back, for so long from now on.
+// A request is quarantined for the remaining time.
 struct quarantine_notice {
     quarantine::request_identity request;
     base::milliseconds remaining{0};
 };
 
-// An upstream has said in an answer that it leaves.
+// An upstream has reported in a response that it is draining.
 struct upstream_draining {
     base::upstream_instance upstream;
-    // How long ago it first said so.
+    // Time since its first such response.
     base::micros age{0};
 };
 
-// One frame of a link holds one of these.
+// The content of one frame of a link.
 using message = std::variant<handshake, suspicion, loaded_weights, load_report, store_query,
                              store_view, kv_store_contents, store_changes, crash_report,
                              quarantine_notice, upstream_draining>;
 
-// A message on its way, and how long its sender had been running when it wrote it: it may lie
-// unread for long, and its ages and spans count from when it was written.
+// A message with its sender's uptime when it was sent. The receiver derives the send time from the
+// uptime: the message may be buffered for long, and its ages and durations count from when it was
+// sent.
 struct frame {
     message payload;
     base::micros uptime{0};
 };
 
-// A crash as other entries are told of it, and as they take it. Times go as ages, which hold when
-// the message is written.
-crash_report to_message(const quarantine::crash_report& report, base::instant written);
-quarantine::crash_report from_message(const crash_report& told, base::instant written);
+// Convert a crash report to and from its message. The message holds ages relative to `sent_at`, the
+// time at which it is sent.
+crash_report to_message(const quarantine::crash_report& report, base::instant sent_at);
+quarantine::crash_report from_message(const crash_report& message, base::instant sent_at);
 
-// The frame in CBOR.
-std::string encode(const frame& sent);
+// Encodes a frame in CBOR.
+std::string encode(const frame& outgoing);
 
-// frame_malformed where the bytes are no frame.
+// Decodes a frame; frame_malformed if the bytes are not a valid one.
 base::result<frame> decode(std::string_view bytes);
 
 } // namespace camphorrail::peering
--- a/src/peering/messages_tests.cpp
+++ b/src/peering/messages_tests.cpp
@@ -4,7 +4,8 @@
 
 using namespace camphorrail;
 
-TEST_CASE("entries' messages survive the way between them", "[proxy]") {
+TEST_CASE("store views, load reports and suspicions are unchanged by encoding and decoding",
+          "[proxy]") {
     const peering::store_view view{7,
                                    true,
                                    base::micros(1500),
@@ -12,9 +13,9 @@
                                    true,
                                    {42, {{{"config", std::string("\xff\0x", 3), 9}, false}}},
                                    {{{"desk-8b"}, 4, base::micros(70)}, {{"desk-8b"}, 5, {}}}};
-    const auto read = peering::decode(peering::encode({view}));
-    REQUIRE(read.has_value());
-    const auto& got = std::get<peering::store_view>(read.value().payload);
+    const auto decoded = peering::decode(peering::encode({view}));
+    REQUIRE(decoded.has_value());
+    const auto& got = std::get<peering::store_view>(decoded.value().payload);
     CHECK(got.query_id == 7);
     CHECK(got.confirmed);
     CHECK(got.age == base::micros(1500));
@@ -29,14 +30,14 @@
     REQUIRE(got.changes.items.size() == 1);
     CHECK(got.changes.items[0].item.value == view.changes.items[0].item.value);
 
-    peering::entry_load told;
-    told.from = {"entry-3"};
-    told.age = base::milliseconds(70);
-    told.complete = true;
-    told.items = {{{{"e1"}, {17}}, {2, 900, 1900, 1}, base::milliseconds(40)}};
-    told.uptime = base::milliseconds(12'000);
-    told.usage = {{{"north"}, 4, base::micros(1500), {9230}, {18460}}};
-    const auto load = peering::decode(peering::encode({peering::load_report{{{}, told}}}));
+    peering::entry_load sent_load;
+    sent_load.from = {"entry-3"};
+    sent_load.age = base::milliseconds(70);
+    sent_load.complete = true;
+    sent_load.items = {{{{"e1"}, {17}}, {2, 900, 1900, 1}, base::milliseconds(40)}};
+    sent_load.uptime = base::milliseconds(12'000);
+    sent_load.usage = {{{"north"}, 4, base::micros(1500), {9230}, {18460}}};
+    const auto load = peering::decode(peering::encode({peering::load_report{{{}, sent_load}}}));
     const auto& relayed = std::get<peering::load_report>(load.value().payload).loads.at(1);
     CHECK(relayed.from.value == "entry-3");
     CHECK(relayed.age == base::milliseconds(70));
@@ -56,7 +57,7 @@
     CHECK(std::get<peering::suspicion>(suspicion.value().payload).changing_weights);
 }
 
-TEST_CASE("bytes that are no message are refused", "[proxy]") {
+TEST_CASE("bytes that are not a valid message are rejected", "[proxy]") {
     const std::vector<std::string> broken{"", "\x81", "hello", "\x81\x64nope",
                                           std::string("\x82\x63") + "ask\x01"};
     for (const auto& bytes : broken) {
@@ -64,30 +65,31 @@
     }
 }
 
-TEST_CASE("what entries tell of the store's changes survives the way", "[proxy]") {
-    peering::store_changes told;
-    told.base_revision = 41;
-    told.omitted_keys = {"a"};
-    told.changes = {43, {{{"a", "\xff", 42}, false}, {{"b", "", 43}, true}}};
-    const auto read = peering::decode(peering::encode({told}));
+TEST_CASE("store changes are unchanged by encoding and decoding", "[proxy]") {
+    peering::store_changes sent;
+    sent.base_revision = 41;
+    sent.omitted_keys = {"a"};
+    sent.changes = {43, {{{"a", "\xff", 42}, false}, {{"b", "", 43}, true}}};
+    const auto read = peering::decode(peering::encode({sent}));
     const auto& got = std::get<peering::store_changes>(read.value().payload);
     CHECK(got.base_revision == 41);
-    CHECK(got.omitted_keys == told.omitted_keys);
+    CHECK(got.omitted_keys == sent.omitted_keys);
     CHECK(got.changes.revision == 43);
     REQUIRE(got.changes.items.size() == 2);
     CHECK(got.changes.items[0].item.value == "\xff");
     CHECK(got.changes.items[1].deleted);
 }
 
-TEST_CASE("what entries tell of cached prompts survives the way", "[proxy]") {
-    kvcache::prompt_read told;
-    told.levels = {{1, 2520}, {~0ULL, 3780}};
-    told.weights = 4;
-    told.by = {{"e1"}, {17}};
-    told.saved = true;
-    told.shown = {{2890.0, 400.0, 1.5}, 62.5};
+TEST_CASE("prompt reads and KV cache store contents are unchanged by encoding and decoding",
+          "[proxy]") {
+    kvcache::prompt_read sent;
+    sent.levels = {{1, 2520}, {~0ULL, 3780}};
+    sent.weights = 4;
+    sent.by = {{"e1"}, {17}};
+    sent.saved = true;
+    sent.shown = {{2890.0, 400.0, 1.5}, 62.5};
     peering::entry_load load;
-    load.reads = {told};
+    load.reads = {sent};
     const auto reads = peering::decode(peering::encode({peering::load_report{{load}}}));
     const auto& read =
         std::get<peering::load_report>(reads.value().payload).loads.at(0).reads.at(0);
@@ -105,7 +107,7 @@
     CHECK(view.parts.at(0).tokens == 2520);
 }
 
-TEST_CASE("frames bear how long their sender had been running", "[proxy]") {
+TEST_CASE("frames carry the uptime of their sender", "[proxy]") {
     const auto read = peering::decode(peering::encode(
         {peering::handshake{{"entry-3"}, {"a"}, 1'700'000'000'000}, base::seconds(7)}));
     REQUIRE(read.has_value());
