--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -14,148 +14,155 @@
 
 namespace camphorrail::fleet {
 
-// What another entry has under way at an upstream, and until when that is believed.
+// In-flight work of another entry at an upstream. The report counts until `expires_at`.
 struct entry_load {
     workload work;
     base::instant expires_at{};
     base::instant reported_at{};
 };
 
-// What an entry knows of one upstream: what the platform lists, and what its own requests show.
+// An upstream as one entry sees it: its item in the platform's list, and the state derived from
+// requests and from reports of other entries.
 struct member {
     ports::listed_upstream listed;
-    // Of its id, for rendezvous hashing.
+    // Hash of the upstream's id, for rendezvous hashing.
     std::uint64_t id_hash = 0;
     membership::health health;
-    // What this entry has under way there.
+    // In-flight work of this entry at the upstream.
     workload local_work;
-    // The same at the other entries.
+    // In-flight work of the other entries at the upstream.
     std::map<base::entry_id, entry_load> remote_work;
-    // What the upstream last said of its load, and when.
+    // The load that the upstream last reported, and when.
     std::optional<ports::reported_load> load;
     base::instant load_at{};
-    // When the last byte came from it, on whatever request.
+    // When the last byte was received from the upstream, on any request.
     base::instant last_byte_at{};
-    // It takes no new request before this moment: it loads weights, or has said that it is full.
+    // The upstream gets no new requests before this time: it is loading weights, or has reported
+    // that it is full.
     base::instant busy_until{};
-    // It has turned a request of ours away, and asked to get nothing more from us before this
-    // moment.
+    // The upstream rejected a request of this entry and asked it to send nothing before this time.
     base::instant pause_until{};
-    // Another entry has ejected it until then. What one entry's requests show may be the fault of
-    // its own network, so it only says to try others first.
+    // Another entry has ejected the upstream until then. Since the cause may be that entry's own
+    // network, this only makes the upstream a second choice.
     base::instant suspected_until{};
-    // It is about to change weights, or does so, before this moment.
+    // The upstream is about to change weights, or is changing them, until this time.
     base::instant weights_change_until{};
-    // Takes short prompts before long ones; see kvcache/lanes.h.
+    // The upstream prefers short prompts to long ones; see kvcache/lanes.h.
     bool short_lane = false;
-    // Since when it is known by its own word that it leaves. The list may say so later, or, by a
-    // heartbeat that is late, call it ready again: in this life that undoes nothing.
+    // When the upstream itself first reported that it is draining. The list may show this later, or
+    // show it as ready again due to a delayed heartbeat; neither reverts it in this incarnation.
     std::optional<base::instant> drain_reported_at;
-    // Since when the platform's list lacks it.
+    // Since when the upstream has been missing from the platform's list.
     std::optional<base::instant> unlisted_since;
-    // Its lives before this one, the newest last.
+    // Incarnations before the current one, the newest last.
     std::vector<base::upstream_incarnation> previous_incarnations;
 };
 
 struct fleet {
     std::map<base::upstream_id, member> members;
-    // Lives that said that they leave and have vanished from the list, and when they said so. An
-    // entry of the list that lapsed with the store comes back when the store does.
+    // Incarnations that reported draining and then vanished from the list, with the time of that
+    // report. List items that expired during a store outage reappear once the store is back.
     std::map<base::upstream_instance, base::instant> drained;
 };
 
 struct fleet_rules {
     membership::health_rules health;
-    // How long a pool that has vanished from the list as a whole, or of which all say that they
-    // leave, may still serve.
-    // Below the platform's bound on new requests to an upstream that left, less the list's lag.
+    // How long a pool may still serve after all of its members have vanished from the list or have
+    // reported draining. Must stay below the platform's bound on new requests to an upstream that
+    // left, less the list's lag.
     base::micros unlisted_grace = base::milliseconds(1400);
-    // What an upstream said of its load says nothing any more after this long.
+    // A load reported by an upstream is ignored after this time.
     base::micros load_report_ttl = base::milliseconds(500);
 };
 
-// What a new list changed.
+// Changes that applying a new list made.
 struct list_diff {
     std::vector<base::upstream_id> added;
     std::vector<base::upstream_id> changed;
     std::vector<base::upstream_id> removed;
-    // They started again under their ids.
+    // Upstreams that restarted under their ids.
     std::vector<base::upstream_id> restarted;
-    // They hold other weights than before, and nothing that they had cached.
+    // Upstreams that hold other weights than before, and so have lost their cache.
     std::vector<base::upstream_id> weights_changed;
 };
 
-// Takes the platform's list as it now is.
+// Applies the platform's current list.
 list_diff apply_list(fleet& state, const std::vector<ports::listed_upstream>& listed,
                      base::instant now);
 
-// An upstream is known to have started again. All that was believed of it is void: it holds no
-// cached prompt and has nothing under way. The platform's list may go on telling of the earlier
-// life for a while, since heartbeats overtake each other; that is passed over.
+// Records that an upstream has restarted, and resets the state kept for it: it has no cached
+// prompts and no requests in flight. The platform's list may still show the previous incarnation
+// for a while, since heartbeats overtake each other; such items are ignored.
 void start_incarnation(member& one, base::upstream_incarnation incarnation);
 
 base::upstream_instance instance_of(const member& one);
 
-// The member where it is in that very life; null where it has started again since, or before, or is
-// not known. What is told of another life must not be believed of this one.
+// Returns the member if its current incarnation is the given one, otherwise null. Reports about one
+// incarnation must not be applied to another.
 member* find_instance(fleet& state, const base::upstream_instance& instance);
 
-// Whether the upstream is known to have ended that life.
+// Whether the given incarnation of the upstream is known to have ended.
 bool incarnation_ended(const member& one, base::upstream_incarnation incarnation);
 
-// Something else stands in the list in place of a member that vanished from it. Unlike one that
-// only lapsed, it gets nothing more, even where no other is left.
+// Records that another upstream has taken the place of a vanished member in the list. Unlike a
+// member whose list item only expired, it gets no more requests, even if no other member is left.
 void mark_replaced(fleet& state, const base::upstream_id& id);
 
-// An upstream has said in an answer that it leaves; true where that is new.
+// Records that an upstream has reported in a response that it is draining. Returns whether that is
+// new.
 bool record_drain_report(fleet& state, const base::upstream_instance& upstream, base::instant now);
 
-// Forgets members that vanished long enough ago and hold no request; gives their ids.
+// Removes members that vanished from the list long enough ago and have no requests in flight.
+// Returns their ids.
 std::vector<base::upstream_id> prune_unlisted(fleet& state, base::instant now,
                                               const fleet_rules& rules);
 
-// The version of a model's weights that a member holds; 0 where it does not hold the model.
+// The version of a model's weights that a member holds; 0 if it does not hold the model.
 std::int64_t weights_version_of(const member& one, const base::model_id& model);
 
-// Whether a new request may be sent there as far as the list and its own word say.
+// Whether both the list and the upstream's own reports allow sending it a new request.
 bool is_available(const member& one);
 
-// Whether a member that is about to go may still take what no other can: one that vanished, or has
-// said itself that it leaves. Where the list says so, it may not.
+// Whether a member that vanished from the list, or has reported draining, may still serve requests
+// that no other member can. It may not if the list shows it as draining.
 bool may_serve_in_grace(const member& one, base::instant now, const fleet_rules& rules);
 
-// Until when it takes nothing new from us: it is busy, or has asked for a pause.
+// Until when this entry sends the member no new requests, since it is busy or has asked for a
+// pause.
 base::instant unavailable_until(const member& one);
 
-// An upstream has asked to get nothing from this entry for so long. What makes no sense is bounded.
+// Records that an upstream has asked this entry to send nothing for `span`. The span is capped, so
+// that a nonsensical value can't exclude the upstream for long.
 void record_pause(member& one, base::micros span, base::instant now);
 
-// Whether its failures, as seen here or by other entries, speak against sending a request there.
+// Whether failures seen by this entry or by others make the member a second choice.
 bool is_suspected(const member& one, base::instant now);
 
-// Whether nothing speaks against sending a new request there.
+// Whether a new request may be sent to the member without reservations.
 bool is_eligible(const member& one, base::instant now);
 
-// The members of a pool that a new request may go to: the fit ones; where there are none, those
-// that are only suspected; where the whole pool vanished a moment ago, or said that it leaves,
-// those that may still serve. `except` are left out.
+// The members of a pool that a new request may be sent to: the eligible ones; if there are none,
+// those that are only suspected; if the whole pool has just vanished or reported draining, those
+// that may serve in the grace period. Members listed in `except` are left out.
 std::vector<member*> candidates(fleet& state, const base::pool_id& pool, base::instant now,
                                 const fleet_rules& rules,
                                 const std::vector<base::upstream_id>& except);
 
-// What all entries have under way at a member, as far as they have told lately.
+// In-flight work of all entries at a member, according to reports that have not expired.
 workload total_work(const member& one, base::instant now);
 
-// Prompt tokens that probably wait at a member to be read, which reads `tokens_a_ms`. What others
-// told is read meanwhile: with a hundred entries that tell twice a second, most of it has been by
-// the time that it is counted, and prompts left their homes for queues that were long gone.
+// Estimates the prompt tokens that wait for prefill at a member, which reads `tokens_a_ms` of them
+// per millisecond. Tokens that other entries reported are reduced by what the member has read
+// since: with a hundred entries that report twice a second, most reported tokens have been read by
+// the time they are counted, and without this prompts left their cached copies to avoid queues that
+// no longer existed.
 std::int64_t estimate_unread_tokens(const member& one, base::instant now, double tokens_a_ms);
 
-// How many requests a member probably holds, ours and those of other entries.
+// Estimates the number of requests at a member, of this entry and of all others.
 std::int64_t estimated_load(const member& one, base::instant now, const fleet_rules& rules);
 
-// The candidate with the least load for its size; among equal ones, one in our availability zone,
-// and otherwise the one that `number` picks. Null where there are no candidates.
+// The candidate with the lowest load relative to its size. Ties go to a candidate in the given
+// availability zone, and then to the one selected by `number`. Null if there are no candidates.
 member* least_loaded(const std::vector<member*>& among, const base::availability_zone& zone,
                      std::uint64_t number, base::instant now, const fleet_rules& rules);
 
