--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -25,43 +25,46 @@
 
 namespace camphorrail::proxy {
 
-// What an entry believes. Changed by what the store, other entries and its own requests tell.
+// Mutable state of an entry, updated from the store, from other entries and from its own requests.
 struct entry_state {
     mirror::store_mirror store;
     std::shared_ptr<const routes::operators_config> config;
     fleet::fleet fleet;
     std::map<base::model_id, weights_history> weights;
     kvcache::cache_beliefs cache;
-    // What the stores of kept KV cache hold.
+    // Prompts whose KV cache the KV cache stores hold.
     kvcache::kept_copies stored_prompts;
-    // How long the engines of each pool take, by what their requests show.
+    // First-byte latency of each pool's engines, learned from their requests.
     std::map<base::pool_id, latency::first_byte_model> latency;
-    // How many engines of each pool are kept for short prompts.
+    // Number of engines per pool that are reserved for short prompts.
     kvcache::lane_sizes lanes;
-    // What became of the last prompts, by the name of their route.
+    // Placement results of the latest prompts, by route name.
     std::map<std::string, kvcache::size_record> prompt_sizes;
-    // Milliseconds of the stores' links that this entry has ordered and not told others of yet.
+    // Transfer time in milliseconds per KV cache store that this entry has requested and not
+    // reported to other entries yet.
     std::map<std::string, double> unreported_transfers;
-    // Prompts that this entry's requests have had read and that it has not told others of yet.
+    // Prompts that engines have read for this entry's requests and that it has not reported to
+    // other entries yet.
     std::vector<kvcache::prompt_read> unreported_reads;
     std::map<base::pool_id, admission::retry_window> retries;
-    // Requests that crash the upstreams that run them.
+    // Requests that are held back because they crash the upstreams that run them.
     quarantine::quarantine quarantine;
-    // What teams have used of their quotas over all entries.
+    // Use of the teams' quotas over all entries.
     quota::ledger quotas;
-    // Entries that share the retry budget, this one included.
+    // Number of entries that share the retry budget, including this one.
     std::int64_t entry_count = 1;
     bool stopping = false;
 };
 
-// An attempt whose connection broke, or whose answer ended early, after it may have left.
+// An attempt whose connection broke, or whose response was incomplete, after the request may have
+// been sent.
 struct broken_attempt {
     base::upstream_instance upstream;
     std::string address;
     quarantine::crash_victim victim;
 };
 
-// What every part of an entry works with.
+// Shared services and state that all components of an entry use.
 struct entry_context {
     adapters::event_loop& loop;
     const settings::proxy_settings& settings;
@@ -70,72 +73,75 @@
     connection_pool& connections;
     adapters::event_log& log;
     adapters::metrics& metrics;
-    // On a clock that counts suspension.
+    // Monotonic time that includes time during which the VM was suspended.
     std::function<base::instant()> now;
-    // Tells other entries that an upstream takes nothing for a while.
-    std::function<void(const base::upstream_instance&, base::micros, const char* why)>
+    // Notifies other entries to send an upstream no new requests for a while.
+    std::function<void(const base::upstream_instance&, base::micros, const char* reason)>
         broadcast_suspicion;
-    // Tells other entries that an upstream takes nothing new while it changes weights.
+    // Notifies other entries that an upstream accepts no new requests while it changes weights.
     std::function<void(const base::upstream_instance&, base::micros)> broadcast_weights_change;
-    // Notes, here and at other entries, which weights an upstream holds now.
+    // Records the weights that an upstream now holds, in this entry and in all others.
     std::function<void(const base::upstream_instance&, const base::model_id&, std::int64_t version)>
         broadcast_weights;
-    // Tells other entries that an upstream has said that it leaves.
+    // Notifies other entries that an upstream has reported draining.
     std::function<void(const base::upstream_instance&)> broadcast_drain;
-    // Notes an attempt that its upstream may have crashed under.
+    // Records an attempt during which its upstream may have crashed.
     std::function<void(const broken_attempt&)> record_broken_attempt;
 };
 
-// The versions named for a model; none for a model that operators have not named. Callers name
-// models, so a look-up must not leave an entry behind for each name that they invent.
+// The target versions of a model's weights; empty if the operators have set none. A look-up must
+// not insert an item into the map: clients choose the model name, and could fill the memory with
+// invented ones.
 const weights_history& history_of(const entry_state& state, const base::model_id& model);
 
-// Whether the configuration is proved recently enough to serve by.
+// Whether the configuration was confirmed recently enough to serve requests by it.
 bool is_config_fresh(const entry_context& context);
 
-// The age of the proof behind the configuration as logs show it; -1 where there is none.
+// Time since the configuration was last confirmed, for logs; -1 if it never was.
 base::micros logged_config_age(const entry_context& context);
 
-// Longest age of the proof behind a configuration that requests are served by.
+// The longest time since the last confirmation of a configuration at which it is still used to
+// serve requests.
 base::micros max_config_age(const settings::proxy_settings& settings);
 
-// The rules by which upstreams are judged, with the settings' figures.
+// The fleet parameters with the values from the settings.
 fleet::fleet_rules fleet_rules_of(const settings::proxy_settings& settings);
 
-// The rules by which teams' quotas are kept, with the settings' figures.
+// The quota parameters with the values from the settings.
 quota::quota_rules quota_rules_of(const settings::proxy_settings& settings);
 
-// How long a request may still begin on weights after newer ones were named.
+// How long requests may still be started on outdated weights after operators have set a newer
+// target version.
 base::micros max_outdated_weights_age(const settings::proxy_settings& settings);
 
-// Notes that an upstream holds a newer version of a model's weights. It has dropped all that it had
-// cached for the one before, which would else count as filling its memory.
+// Records that an upstream holds a newer version of a model's weights. It has evicted everything
+// cached for the previous version, which would otherwise still count as occupying its memory.
 void record_weights(entry_context& context, const base::upstream_instance& upstream,
                     const base::model_id& model, std::int64_t version);
 
-// Voids what hangs on an upstream's earlier life outside the fleet: its idle connections, which are
-// dead, and what it was believed to have cached.
-void discard_previous_incarnation(entry_context& context, const base::upstream_instance& now_in);
+// Discards the state of an upstream's previous incarnation outside the fleet: its idle connections,
+// which are closed at the other end, and the record of its cached prompts.
+void discard_previous_incarnation(entry_context& context, const base::upstream_instance& current);
 
-// The memory of an upstream's engine in tokens; 0 where that is not known.
+// The KV cache capacity of an upstream's engine in tokens; 0 if unknown.
 std::int64_t engine_capacity_tokens(const entry_state& state,
                                     const base::upstream_instance& upstream);
 
-// Takes what a request showed of an engine, here or at another entry: that it holds the prompt now,
-// and how long it took.
+// Records what a request of this or another entry showed about an engine: that it now holds the
+// prompt in its cache, and how long the first byte took.
 void record_prompt_read(entry_context& context, const kvcache::prompt_read& read);
 
-// Notes that an upstream has said then that it leaves, here or, where `told_by` names it, to
-// another entry; true where that is new.
+// Records that an upstream reported draining at `reported_at`, either to this entry or, if
+// `reported_by` is not empty, to that entry. Returns whether this is new.
 bool record_drain_report(entry_context& context, const base::upstream_instance& upstream,
-                         const std::string& told_by, base::instant said_at);
+                         const std::string& reported_by, base::instant reported_at);
 
-// Notes that an attempt at an upstream failed; may eject it, and then tells other entries. Says
-// nothing of an upstream that has started again since.
+// Records a failed attempt at an upstream. This may eject the upstream, in which case other entries
+// are notified. Ignored if the upstream has restarted since.
 void record_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
-                             const char* why);
+                             const char* reason);
 
-// Notes that an upstream answered that a call failed.
+// Records that an upstream responded with an error.
 void record_upstream_error(entry_context& context, const base::upstream_instance& upstream);
 
 void record_upstream_success(entry_context& context, const base::upstream_instance& upstream);
