--- a/src/proxy/admission.cpp
+++ b/src/proxy/admission.cpp
@@ -4,24 +4,24 @@
 
 namespace camphorrail::proxy {
 
-base::result<admitted> admit(const admission_view& view, const http::request_head& head,
-                             const ports::client_request& facts) {
-    if (view.config == nullptr || !view.config_age || *view.config_age > view.longest_age) {
+base::result<admitted_request> admit(const admission_state& state, const http::request_head& head,
+                                     const ports::client_request& metadata) {
+    if (state.config == nullptr || !state.config_age || *state.config_age > state.max_config_age) {
         return base::code::not_ready;
     }
     const auto* route =
-        routes::find_route(*view.config, http::value_of(head.all, "Host"), head.target);
+        routes::find_route(*state.config, http::value_of(head.all, "Host"), head.target);
     if (route == nullptr) {
         return base::code::unknown_path;
     }
-    if (route->open_to_all || view.config->teams.empty()) {
-        return admitted{view.config, route, nullptr};
+    if (route->open_to_all || state.config->teams.empty()) {
+        return admitted_request{state.config, route, nullptr};
     }
-    const auto* team = routes::find_team(*view.config, facts.bearer_key);
+    const auto* team = routes::find_team(*state.config, metadata.bearer_key);
     if (team == nullptr) {
         return base::code::key_missing_or_wrong;
     }
-    return admitted{view.config, route, team};
+    return admitted_request{state.config, route, team};
 }
 
 bool may_repeat(const routes::route& route) {
@@ -29,9 +29,10 @@
            (route.kind == routes::request_kind::stream && route.resumable);
 }
 
-int rank_of(const admitted& request) {
-    const bool by_team = request.team != nullptr && request.team->priority >= 0;
-    return std::clamp(by_team ? request.team->priority : request.route->priority, 0, last_rank);
+int priority_rank(const admitted_request& request) {
+    const bool has_team_priority = request.team != nullptr && request.team->priority >= 0;
+    return std::clamp(has_team_priority ? request.team->priority : request.route->priority, 0,
+                      lowest_rank);
 }
 
 } // namespace camphorrail::proxy
--- a/src/proxy/admission_tests.cpp
+++ b/src/proxy/admission_tests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::shared_ptr<const routes::operators_config> sample() {
+std::shared_ptr<const routes::operators_config> sample_config() {
     auto config = std::make_shared<routes::operators_config>();
     config->version = 3;
     config->routes = {
@@ -29,10 +29,10 @@
 } // namespace
 
 TEST_CASE("a request is admitted by the configuration in force", "[proxy]") {
-    const proxy::admission_view view{sample(), base::seconds(1), base::milliseconds(4600)};
+    const proxy::admission_state state{sample_config(), base::seconds(1), base::milliseconds(4600)};
     const auto code = [&](const std::string& target, const std::string& key) {
         const auto admitted =
-            proxy::admit(view, request(target), {.request_id = "1", .bearer_key = key});
+            proxy::admit(state, request(target), {.request_id = "1", .bearer_key = key});
         return admitted.has_value() ? 0 : static_cast<int>(base::to_code(admitted.error()));
     };
     CHECK(code("/tag/x", "k1") == 0);
@@ -43,8 +43,8 @@
 
     SECTION("at its team's rank, or else at its route's") {
         const auto rank = [&](const std::string& key) {
-            return proxy::rank_of(
-                proxy::admit(view, request("/tag/x"), {.request_id = "1", .bearer_key = key})
+            return proxy::priority_rank(
+                proxy::admit(state, request("/tag/x"), {.request_id = "1", .bearer_key = key})
                     .value());
         };
         CHECK(rank("k1") == 2);
@@ -56,15 +56,16 @@
 // go on honouring the key. So it serves nobody on a proof that is older than the bound: the caller
 // is told that nothing has run, and reaches another entry.
 TEST_CASE("nothing is served on a configuration that was not proved lately", "[proxy]") {
-    proxy::admission_view view{sample(), base::milliseconds(4601), base::milliseconds(4600)};
-    const ports::client_request facts{.request_id = "1", .bearer_key = "k1"};
-    CHECK(proxy::admit(view, request("/tag/x"), facts).error() == base::code::not_ready);
+    proxy::admission_state state{sample_config(), base::milliseconds(4601),
+                                 base::milliseconds(4600)};
+    const ports::client_request metadata{.request_id = "1", .bearer_key = "k1"};
+    CHECK(proxy::admit(state, request("/tag/x"), metadata).error() == base::code::not_ready);
     // Not even with an answer that would be final for the caller.
-    CHECK(proxy::admit(view, request("/none/"), facts).error() == base::code::not_ready);
-    view.config_age.reset();
-    CHECK(proxy::admit(view, request("/tag/x"), facts).error() == base::code::not_ready);
-    view = {nullptr, base::seconds(1), base::milliseconds(4600)};
-    CHECK(proxy::admit(view, request("/tag/x"), facts).error() == base::code::not_ready);
+    CHECK(proxy::admit(state, request("/none/"), metadata).error() == base::code::not_ready);
+    state.config_age.reset();
+    CHECK(proxy::admit(state, request("/tag/x"), metadata).error() == base::code::not_ready);
+    state = {nullptr, base::seconds(1), base::milliseconds(4600)};
+    CHECK(proxy::admit(state, request("/tag/x"), metadata).error() == base::code::not_ready);
 }
 
 TEST_CASE("only requests that may run twice are repeated", "[proxy]") {
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -18,32 +18,32 @@
 
     // A connection to an upstream: one that stands and was used at most `longest_idle` ago, or else
     // a new one.
-    connection_ptr take(const base::upstream_id& id, const std::string& address,
-                        base::micros longest_idle);
+    connection_ptr acquire(const base::upstream_id& id, const std::string& address,
+                           base::micros max_idle_time);
     // Keeps a connection whose answer was whole, for at most `keep` from now.
-    void give_back(const base::upstream_id& id, const connection_ptr& used, base::micros keep);
+    void release(const base::upstream_id& id, const connection_ptr& used, base::micros keep_time);
     // Closes the idle connections to an upstream that has ended or is suspected.
-    void forget(const base::upstream_id& id);
+    void close_idle(const base::upstream_id& id);
     // Keeps at most so many; the ones that have been idle longest are closed first.
-    void limit_idle(std::size_t most) { this->most_idle = most; }
+    void limit_idle(std::size_t count) { this->max_idle_count = count; }
     [[nodiscard]] std::size_t idle_count() const;
     // Closes what has been idle for too long.
-    void sweep();
+    void close_expired();
     [[nodiscard]] std::int64_t opened() const { return this->opened_count; }
 
 private:
     struct idle_connection {
         connection_ptr connection;
-        base::instant since;
-        base::instant until;
+        base::instant idle_since;
+        base::instant expires_at;
     };
-    void close_longest_idle();
+    void close_oldest_idle();
     void remove(const base::upstream_id& id, const upstream_connection* ended);
 
     event_base* base;
     std::function<base::instant()> now;
     std::unordered_map<base::upstream_id, std::vector<idle_connection>> idle;
-    std::size_t most_idle = std::numeric_limits<std::size_t>::max();
+    std::size_t max_idle_count = std::numeric_limits<std::size_t>::max();
     std::int64_t opened_count = 0;
 };
 
--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -95,7 +95,7 @@
 }
 
 void discard_previous_incarnation(entry_context& context, const base::upstream_instance& now_in) {
-    context.connections.forget(now_in.id);
+    context.connections.close_idle(now_in.id);
     kvcache::forget_reader(context.state.cache, now_in.id);
     std::erase_if(context.state.unreported_reads,
                   [&](const auto& read) { return read.by.id == now_in.id; });
@@ -136,7 +136,7 @@
     if (!ejected) {
         return std::nullopt;
     }
-    context.connections.forget(upstream.id);
+    context.connections.close_idle(upstream.id);
     const base::micros span = one->health.ejected_until - now;
     context.log.line(adapters::importance::keep, "upstream_ejected")
         .text("upstream", upstream.id.value)
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -12,7 +12,7 @@
 // at most one for an upstream, so that `callers` counts twice.
 struct descriptor_shares {
     // Connections of callers.
-    std::size_t callers = 0;
+    std::size_t clients = 0;
     // Connections to upstreams that are kept for the next request.
     std::size_t idle_upstreams = 0;
     // For files, the store, other entries, the balancer, operators, and orders to upstreams.
@@ -22,24 +22,24 @@
 descriptor_shares share_descriptors(std::size_t limit);
 
 // What a server of callers says of its accepting.
-struct accepting_view {
+struct accept_status {
     bool paused = false;
     std::int64_t pauses = 0;
-    std::size_t callers = 0;
-    std::size_t most_callers = 0;
+    std::size_t clients = 0;
+    std::size_t max_clients = 0;
 };
 
 // What the log says of it.
-struct accepting_notes {
-    bool said_paused = false;
+struct accept_log_state {
+    bool pause_logged = false;
     std::int64_t pauses_seen = 0;
-    std::int64_t pauses_said = 0;
-    base::instant last_paused{};
+    std::int64_t pauses_logged = 0;
+    base::instant last_pause{};
 };
 
 // Logs that accepting pauses, and that it goes on once it has not paused for a while: at most one
 // pair of lines in that time, however often it pauses.
-void note_accepting(accepting_notes& notes, const accepting_view& view, base::instant now,
-                    adapters::event_log& log);
+void log_accept_pauses(accept_log_state& log_state, const accept_status& status, base::instant now,
+                       adapters::event_log& log);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/descriptors_tests.cpp
+++ b/src/proxy/descriptors_tests.cpp
@@ -59,8 +59,8 @@
     const std::size_t limit = GENERATE(16U, 64U, 256U, 1024U, 4096U, 4200U, 8192U, 1048576U);
     const auto shares = proxy::share_descriptors(limit);
     CAPTURE(limit);
-    CHECK(shares.callers >= 1);
-    CHECK(2 * shares.callers + shares.idle_upstreams + shares.reserve <= limit);
+    CHECK(shares.clients >= 1);
+    CHECK(2 * shares.clients + shares.idle_upstreams + shares.reserve <= limit);
     CHECK(shares.reserve >= std::min<std::size_t>(limit / 2, 256));
     CHECK(shares.reserve >= limit / 8);
 }
@@ -163,7 +163,7 @@
         });
     }
     CHECK(port.pauses() >= 1);
-    CHECK(port.most_connections() < 4);
+    CHECK(port.max_connections() < 4);
     let_time_pass(world, base::seconds(1));
     REQUIRE(world.run_until([&] { return world.last_seen().heads.size() == 1; }));
     CHECK(world.last_seen().heads[0].status == 200);
@@ -187,14 +187,14 @@
 // An entry that pauses a thousand times a second fills its log with that.
 TEST_CASE("a span of pauses is logged with one pair of lines", "[proxy][descriptors]") {
     tests::proxy_world world;
-    proxy::accepting_notes notes;
+    proxy::accept_log_state log_state;
     base::instant now = world.entry().now();
     std::int64_t pauses = 0;
     const auto ticks = [&](int count, std::int64_t pauses_each) {
         for (int tick = 0; tick < count; ++tick) {
             now += base::milliseconds(100);
             pauses += pauses_each;
-            proxy::note_accepting(notes, {false, pauses, 7, 8}, now, world.entry().log);
+            proxy::log_accept_pauses(log_state, {false, pauses, 7, 8}, now, world.entry().log);
         }
     };
     ticks(50, 100);
--- a/src/proxy/caller_server.cpp
+++ b/src/proxy/frontend_server.cpp
@@ -1,4 +1,4 @@
-#include "proxy/caller_server.h"
+#include "proxy/frontend_server.h"
 
 #include "adapters/sockets.h"
 #include "adapters/timer.h"
@@ -29,17 +29,17 @@
 constexpr std::size_t read_ahead_bytes = 64U << 10U;
 // After a last answer we read on for this long: closing with unread bytes would reset the
 // connection, and the caller could lose the answer.
-constexpr base::milliseconds linger{1000};
+constexpr base::milliseconds linger_time{1000};
 // A caller's link may be slow; beyond this its machine is gone.
-constexpr adapters::silence_limits caller_silence{base::milliseconds(8000), base::seconds(3), 3};
+constexpr adapters::silence_limits client_keepalive{base::milliseconds(8000), base::seconds(3), 3};
 
 // A connection that has just been accepted or answered is about to be used.
-constexpr base::milliseconds least_idle{200};
+constexpr base::milliseconds min_idle_time{200};
 // While accepting is paused, connections are looked through for idle ones this often.
-constexpr base::milliseconds room_period{20};
+constexpr base::milliseconds accept_retry_period{20};
 // One in so many connections is kept free for those who come next.
-constexpr std::size_t spare_part = 16;
-constexpr std::size_t most_spare_connections = 64;
+constexpr std::size_t spare_divisor = 16;
+constexpr std::size_t max_spare_connections = 64;
 
 int status_of(http::read_fault fault) {
     switch (fault) {
@@ -60,35 +60,38 @@
 } // namespace
 
 // A caller's connection: reads one request at a time and writes its answer.
-class caller_connection : public std::enable_shared_from_this<caller_connection> {
+class client_connection : public std::enable_shared_from_this<client_connection> {
 public:
-    caller_connection(caller_server& server, std::int64_t number, int descriptor)
-        : server(&server), number(number), bounds(server.handler.bounds()),
-          reader(this->bounds.read), next(server.base, [this] { this->read_request(); }) {
-        adapters::watch_for_silence(descriptor, caller_silence);
+    client_connection(frontend_server& server, std::int64_t number, int descriptor)
+        : server(&server), number(number), limits(server.callbacks.limits()),
+          reader(this->limits.read),
+          next_request_timer(server.base, [this] { this->read_request(); }) {
+        adapters::watch_for_silence(descriptor, client_keepalive);
         this->socket = bufferevent_socket_new(server.base, descriptor, BEV_OPT_CLOSE_ON_FREE);
-        bufferevent_setcb(this->socket, on_read, on_written, on_event, this);
+        bufferevent_setcb(this->socket, on_read, on_write, on_event, this);
         this->wait_for_request();
         bufferevent_enable(this->socket, EV_READ | EV_WRITE);
     }
 
-    ~caller_connection() { this->release(); }
-    caller_connection(const caller_connection&) = delete;
-    caller_connection& operator=(const caller_connection&) = delete;
+    ~client_connection() { this->release(); }
+    client_connection(const client_connection&) = delete;
+    client_connection& operator=(const client_connection&) = delete;
 
-    [[nodiscard]] bool open() const { return this->socket != nullptr && !this->last_sent; }
+    [[nodiscard]] bool is_open() const {
+        return this->socket != nullptr && !this->final_response_written;
+    }
     // Bytes that wait here or in the kernel, such as a request that has just come.
     [[nodiscard]] bool has_unread() const {
         int waiting = 0;
         ioctl(bufferevent_getfd(this->socket), FIONREAD, &waiting);
         return waiting > 0 || evbuffer_get_length(bufferevent_get_input(this->socket)) > 0;
     }
-    [[nodiscard]] base::instant idle_since() const { return this->began_idle; }
+    [[nodiscard]] base::instant idle_since() const { return this->idle_start; }
     [[nodiscard]] bool idle() const {
-        return this->exchange == nullptr && !this->reading && !this->last_sent;
+        return this->exchange == nullptr && !this->reading && !this->final_response_written;
     }
 
-    void answer(int status, const http::fields& all, const std::string& body) {
+    void respond(int status, const http::fields& all, const std::string& body) {
         const bool keep = this->keep_alive();
         this->write(
             http::write_response_head(status, all, {http::framing::length, body.size()}, keep));
@@ -98,9 +101,9 @@
 
     void start(int status, const http::fields& all) {
         this->chunked = this->exchange->head.chunks_allowed;
-        this->keep_after = this->keep_alive() && this->chunked;
+        this->keep_alive_after = this->keep_alive() && this->chunked;
         const auto kind = this->chunked ? http::framing::chunks : http::framing::close;
-        this->write(http::write_response_head(status, all, {kind, 0}, this->keep_after));
+        this->write(http::write_response_head(status, all, {kind, 0}, this->keep_alive_after));
     }
 
     void send(const std::string& bytes) {
@@ -111,7 +114,7 @@
         if (this->chunked) {
             this->write(std::string(http::last_chunk));
         }
-        this->end_exchange(this->keep_after);
+        this->end_exchange(this->keep_alive_after);
     }
 
     void abort() {
@@ -123,9 +126,9 @@
         }
         if (this->socket != nullptr) {
             // An orderly close would complete an answer without a length.
-            const struct linger at_once { 1, 0 };
-            setsockopt(bufferevent_getfd(this->socket), SOL_SOCKET, SO_LINGER, &at_once,
-                       sizeof at_once);
+            const struct linger reset_on_close { 1, 0 };
+            setsockopt(bufferevent_getfd(this->socket), SOL_SOCKET, SO_LINGER, &reset_on_close,
+                       sizeof reset_on_close);
         }
         this->exchange.reset();
         this->close();
@@ -133,19 +136,19 @@
 
     // No further request is read. What is still to be sent leaves first: an answer may be complete
     // for us while half of it waits for the caller's link.
-    void end_gently() {
-        this->leave_idle();
+    void close_gracefully() {
+        this->remove_from_idle();
         this->reading = false;
         if (this->socket == nullptr) {
-            this->last_sent = true;
+            this->final_response_written = true;
             return;
         }
-        this->server->ending += std::exchange(this->last_sent, true) ? 0 : 1;
+        this->server->closing_count += std::exchange(this->final_response_written, true) ? 0 : 1;
         bufferevent_setwatermark(this->socket, EV_READ, 0, 0);
         // A timeout stops the reading, and we go on until the caller has closed.
         bufferevent_enable(this->socket, EV_READ);
         if (this->unsent() == 0) {
-            this->written();
+            this->on_output_drained();
         }
     }
 
@@ -156,31 +159,32 @@
 
     void close() {
         const auto self = this->shared_from_this();
-        this->server->ending -= this->last_sent && this->socket != nullptr ? 1 : 0;
-        this->leave_idle();
+        this->server->closing_count -=
+            this->final_response_written && this->socket != nullptr ? 1 : 0;
+        this->remove_from_idle();
         this->release();
-        this->server->forget(this->number);
+        this->server->remove(this->number);
         if (const auto left = std::exchange(this->exchange, nullptr)) {
-            left->gone.emit();
+            left->disconnected.emit();
         }
     }
 
 private:
-    static std::shared_ptr<caller_connection> self_of(void* raw) {
-        return static_cast<caller_connection*>(raw)->shared_from_this();
+    static std::shared_ptr<client_connection> self_of(void* raw) {
+        return static_cast<client_connection*>(raw)->shared_from_this();
     }
     static void on_read(bufferevent* /*socket*/, void* raw) { self_of(raw)->read_request(); }
-    static void on_written(bufferevent* /*socket*/, void* raw) { self_of(raw)->written(); }
+    static void on_write(bufferevent* /*socket*/, void* raw) { self_of(raw)->on_output_drained(); }
     static void on_event(bufferevent* /*socket*/, short what, void* raw) {
         const auto self = self_of(raw);
-        if ((what & BEV_EVENT_TIMEOUT) != 0 && self->reading && !self->last_sent) {
+        if ((what & BEV_EVENT_TIMEOUT) != 0 && self->reading && !self->final_response_written) {
             self->refuse(status_timeout);
             return;
         }
         self->close();
     }
 
-    void leave_idle() { this->server->idle.erase(std::exchange(this->idle_place, 0)); }
+    void remove_from_idle() { this->server->idle.erase(std::exchange(this->idle_key, 0)); }
 
     void release() {
         if (this->socket != nullptr) {
@@ -195,7 +199,7 @@
     }
 
     [[nodiscard]] bool keep_alive() const {
-        return this->exchange->head.keep_alive && !this->server->closing;
+        return this->exchange->head.keep_alive && !this->server->close_after_response;
     }
 
     void set_read_timeout(base::milliseconds limit) {
@@ -205,13 +209,13 @@
 
     void wait_for_request() {
         this->reading = false;
-        this->leave_idle();
-        this->began_idle = this->server->handler.now();
-        this->idle_place = ++this->server->last_idle;
-        this->server->idle.emplace(this->idle_place, this);
-        this->bounds = this->server->handler.bounds();
-        this->reader = http::request_reader(this->bounds.read);
-        this->set_read_timeout(this->bounds.idle_timeout);
+        this->remove_from_idle();
+        this->idle_start = this->server->callbacks.now();
+        this->idle_key = ++this->server->last_idle_key;
+        this->server->idle.emplace(this->idle_key, this);
+        this->limits = this->server->callbacks.limits();
+        this->reader = http::request_reader(this->limits.read);
+        this->set_read_timeout(this->limits.idle_timeout);
         bufferevent_setwatermark(this->socket, EV_READ, 0, 0);
     }
 
@@ -220,7 +224,7 @@
             return;
         }
         evbuffer* input = bufferevent_get_input(this->socket);
-        if (this->last_sent) {
+        if (this->final_response_written) {
             evbuffer_drain(input, evbuffer_get_length(input));
             return;
         }
@@ -228,15 +232,16 @@
         if (evbuffer_get_length(input) == 0) {
             return;
         }
-        this->note_reading();
+        this->begin_reading();
         evbuffer_drain(input, this->reader.feed(contents(input)));
         if (this->reader.fault() != http::read_fault::none) {
             this->refuse(status_of(this->reader.fault()));
         } else if (this->reader.complete()) {
             this->begin_exchange();
         } else if (this->reader.has_head()) {
-            this->welcome_body();
-        } else if (this->server->handler.now() - this->began > this->bounds.head_timeout) {
+            this->send_continue();
+        } else if (this->server->callbacks.now() - this->request_start >
+                   this->limits.head_timeout) {
             this->refuse(status_timeout);
         }
     }
@@ -252,22 +257,22 @@
         }
     }
 
-    void note_reading() {
+    void begin_reading() {
         if (this->reading) {
             return;
         }
-        this->leave_idle();
+        this->remove_from_idle();
         this->reading = true;
-        this->welcomed = false;
-        this->began = this->server->handler.now();
-        this->set_read_timeout(this->bounds.head_timeout);
+        this->continue_checked = false;
+        this->request_start = this->server->callbacks.now();
+        this->set_read_timeout(this->limits.head_timeout);
     }
 
-    void welcome_body() {
-        if (this->welcomed) {
+    void send_continue() {
+        if (this->continue_checked) {
             return;
         }
-        this->welcomed = true;
+        this->continue_checked = true;
         if (http::same_name(http::value_of(this->reader.head().all, "Expect"), "100-continue")) {
             this->write("HTTP/1.1 100 Continue\r\n\r\n");
         }
@@ -277,15 +282,15 @@
         this->set_read_timeout(base::milliseconds(0));
         bufferevent_setwatermark(this->socket, EV_READ, 0, read_ahead_bytes);
         this->reading = false;
-        this->exchange = std::make_shared<caller_exchange>(this->weak_from_this(),
-                                                           std::move(this->reader.head()),
-                                                           this->reader.take_body(), this->began);
+        this->exchange = std::make_shared<client_exchange>(
+            this->weak_from_this(), std::move(this->reader.head()), this->reader.take_body(),
+            this->request_start);
         const auto held = this->exchange;
-        this->server->handler.request(held);
+        this->server->callbacks.on_request(held);
     }
 
     void refuse(int status) {
-        this->server->handler.refused(status);
+        this->server->callbacks.on_refused(status);
         this->write(http::write_response_head(status, {}, {http::framing::length, 0}, false));
         this->end_exchange(false);
     }
@@ -299,100 +304,101 @@
         if (keep && !this->server->stopped) {
             this->wait_for_request();
             if (evbuffer_get_length(bufferevent_get_input(this->socket)) > 0) {
-                this->next.set(base::micros(0));
+                this->next_request_timer.set(base::micros(0));
             }
             return;
         }
-        this->end_gently();
+        this->close_gracefully();
     }
 
-    void written() {
+    void on_output_drained() {
         if (this->exchange != nullptr) {
             const auto held = this->exchange;
             held->drained.emit();
             return;
         }
-        if (this->last_sent && this->socket != nullptr) {
+        if (this->final_response_written && this->socket != nullptr) {
             shutdown(bufferevent_getfd(this->socket), SHUT_WR);
-            this->set_read_timeout(linger);
+            this->set_read_timeout(linger_time);
         }
     }
 
-    caller_server* server;
+    frontend_server* server;
     std::int64_t number;
     bufferevent* socket = nullptr;
-    caller_bounds bounds;
+    client_limits limits;
     http::request_reader reader;
-    adapters::timer next;
+    adapters::timer next_request_timer;
     exchange_ptr exchange;
-    base::instant began{};
-    base::instant began_idle{};
+    base::instant request_start{};
+    base::instant idle_start{};
     // Its place among the idle ones; 0 for none.
-    std::int64_t idle_place = 0;
+    std::int64_t idle_key = 0;
     // A request has begun to arrive and is not whole yet.
     bool reading = false;
-    bool welcomed = false;
+    bool continue_checked = false;
     bool chunked = true;
-    bool keep_after = true;
+    bool keep_alive_after = true;
     // The last answer on this connection has been written.
-    bool last_sent = false;
+    bool final_response_written = false;
 };
 
-caller_exchange::caller_exchange(std::weak_ptr<caller_connection> connection,
+client_exchange::client_exchange(std::weak_ptr<client_connection> connection,
                                  http::request_head head, std::string body, base::instant arrived)
     : head(std::move(head)), body(std::move(body)), arrived(arrived),
       connection(std::move(connection)) {}
 
-bool caller_exchange::open() const {
+bool client_exchange::is_open() const {
     const auto held = this->connection.lock();
-    return held != nullptr && held->open();
+    return held != nullptr && held->is_open();
 }
 
-void caller_exchange::answer(int status, const http::fields& all, const std::string& text) {
-    if (const auto held = this->connection.lock(); held != nullptr && held->open()) {
-        held->answer(status, all, text);
+void client_exchange::respond(int status, const http::fields& all, const std::string& text) {
+    if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
+        held->respond(status, all, text);
     }
 }
 
-void caller_exchange::start(int status, const http::fields& all) {
-    if (const auto held = this->connection.lock(); held != nullptr && held->open()) {
+void client_exchange::start(int status, const http::fields& all) {
+    if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
         held->start(status, all);
     }
 }
 
-void caller_exchange::send(const std::string& bytes) {
+void client_exchange::send(const std::string& bytes) {
     if (const auto held = this->connection.lock(); held != nullptr && !bytes.empty()) {
         held->send(bytes);
     }
 }
 
-void caller_exchange::finish() {
-    if (const auto held = this->connection.lock(); held != nullptr && held->open()) {
+void client_exchange::finish() {
+    if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
         held->finish();
     }
 }
 
-void caller_exchange::abort() {
+void client_exchange::abort() {
     if (const auto held = this->connection.lock()) {
         held->abort();
     }
 }
 
-std::size_t caller_exchange::unsent() const {
+std::size_t client_exchange::unsent() const {
     const auto held = this->connection.lock();
     return held == nullptr ? 0 : held->unsent();
 }
 
-caller_server::caller_server(event_base* base, caller_handler handler)
-    : base(base), handler(std::move(handler)), room_timer(base, [this] { this->make_room(); }) {}
+frontend_server::frontend_server(event_base* base, frontend_callbacks callbacks)
+    : base(base), callbacks(std::move(callbacks)),
+      accept_retry_timer(base, [this] { this->retry_accepting(); }) {}
 
-caller_server::~caller_server() {
+frontend_server::~frontend_server() {
     if (this->listener != nullptr) {
         evconnlistener_free(this->listener);
     }
 }
 
-bool caller_server::listen(const std::string& address) {
+bool frontend_server::listen(const std::string& address) {
     auto parsed = adapters::parse_address(address);
     if (!parsed) {
         return false;
@@ -400,7 +406,7 @@
     this->listener = evconnlistener_new_bind(
         this->base,
         [](evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* raw) {
-            static_cast<caller_server*>(raw)->accept(descriptor);
+            static_cast<frontend_server*>(raw)->accept(descriptor);
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, listen_backlog,
         reinterpret_cast<sockaddr*>(&*parsed), sizeof *parsed);
@@ -408,94 +414,95 @@
         return false;
     }
     evconnlistener_set_error_cb(this->listener, [](evconnlistener*, void* raw) {
-        static_cast<caller_server*>(raw)->accept_failed();
+        static_cast<frontend_server*>(raw)->accept_failed();
     });
     return true;
 }
 
-void caller_server::limit_connections(std::size_t wanted) {
-    this->most = wanted;
-    this->close_idle();
+void frontend_server::limit_connections(std::size_t count) {
+    this->connection_limit = count;
+    this->close_idle_connections();
 }
 
-void caller_server::accept(int descriptor) {
+void frontend_server::accept(int descriptor) {
     const std::int64_t number = ++this->last_connection;
     this->connections.emplace(number,
-                              std::make_shared<caller_connection>(*this, number, descriptor));
-    this->close_idle();
-    if (this->connections.size() >= this->most) {
-        this->pause();
+                              std::make_shared<client_connection>(*this, number, descriptor));
+    this->close_idle_connections();
+    if (this->connections.size() >= this->connection_limit) {
+        this->pause_accepting();
     }
 }
 
 // Without a pause the loop would try again at once, for as long as descriptors are short.
-void caller_server::accept_failed() {
+void frontend_server::accept_failed() {
     if (errno == EMFILE) {
         // Others use more than was thought, or the limit is lower: give way for good.
         constexpr std::size_t kept_of_four = 3;
-        this->most = std::max<std::size_t>(1, this->connections.size() * kept_of_four / 4);
+        this->connection_limit =
+            std::max<std::size_t>(1, this->connections.size() * kept_of_four / 4);
     }
-    this->close_idle();
-    this->pause();
+    this->close_idle_connections();
+    this->pause_accepting();
 }
 
-void caller_server::forget(std::int64_t number) {
+void frontend_server::remove(std::int64_t number) {
     this->connections.erase(number);
-    if (this->is_paused && this->connections.size() < this->most) {
-        this->resume();
+    if (this->is_paused && this->connections.size() < this->connection_limit) {
+        this->resume_accepting();
     }
 }
 
-void caller_server::close_idle() {
-    const base::instant now = this->handler.now();
+void frontend_server::close_idle_connections() {
+    const base::instant now = this->callbacks.now();
     const std::size_t spare =
-        std::clamp<std::size_t>(this->most / spare_part, 1, most_spare_connections);
+        std::clamp<std::size_t>(this->connection_limit / spare_divisor, 1, max_spare_connections);
     auto next = this->idle.begin();
     while (next != this->idle.end() &&
-           this->connections.size() + spare > this->most + this->ending) {
-        caller_connection* longest = next->second;
+           this->connections.size() + spare > this->connection_limit + this->closing_count) {
+        client_connection* longest = next->second;
         ++next;
-        if (now - longest->idle_since() < least_idle) {
+        if (now - longest->idle_since() < min_idle_time) {
             return;
         }
         if (!longest->has_unread()) {
             ++this->idle_closed_count;
-            longest->end_gently();
+            longest->close_gracefully();
         }
     }
 }
 
-void caller_server::make_room() {
+void frontend_server::retry_accepting() {
     if (!this->is_paused) {
         return;
     }
-    this->close_idle();
-    if (this->connections.size() < this->most) {
-        this->resume();
+    this->close_idle_connections();
+    if (this->connections.size() < this->connection_limit) {
+        this->resume_accepting();
         return;
     }
-    this->room_timer.set(room_period);
+    this->accept_retry_timer.set(accept_retry_period);
 }
 
-void caller_server::pause() {
+void frontend_server::pause_accepting() {
     if (this->is_paused || this->listener == nullptr) {
         return;
     }
     this->is_paused = true;
     ++this->pause_count;
     evconnlistener_disable(this->listener);
-    this->room_timer.set(room_period);
+    this->accept_retry_timer.set(accept_retry_period);
 }
 
-void caller_server::resume() {
+void frontend_server::resume_accepting() {
     this->is_paused = false;
-    this->room_timer.clear();
+    this->accept_retry_timer.clear();
     if (this->listener != nullptr) {
         evconnlistener_enable(this->listener);
     }
 }
 
-std::uint16_t caller_server::port() const {
+std::uint16_t frontend_server::port() const {
     sockaddr_in bound{};
     socklen_t length = sizeof bound;
     if (this->listener == nullptr ||
@@ -506,12 +513,12 @@
     return ntohs(bound.sin_port);
 }
 
-void caller_server::close_after_answers() {
-    this->closing = true;
+void frontend_server::close_after_responses() {
+    this->close_after_response = true;
 }
 
-void caller_server::stop() {
-    this->closing = true;
+void frontend_server::stop() {
+    this->close_after_response = true;
     this->stopped = true;
     if (this->listener != nullptr) {
         evconnlistener_free(std::exchange(this->listener, nullptr));
@@ -519,12 +526,12 @@
     const auto all = this->connections;
     for (const auto& [number, each] : all) {
         if (each->idle()) {
-            each->end_gently();
+            each->close_gracefully();
         }
     }
 }
 
-std::size_t caller_server::unsent() const {
+std::size_t frontend_server::unsent() const {
     std::size_t bytes = 0;
     for (const auto& [number, each] : this->connections) {
         bytes += each->unsent();
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -127,7 +127,7 @@
     };
     send(false);
     REQUIRE(linked.tick_until([&] { return fleet::is_suspected(service, now()); }));
-    CHECK(proxy::count_pool(linked.world.entry(), service.listed.pool).suspected == 1);
+    CHECK(proxy::count_upstreams(linked.world.entry(), service.listed.pool).suspected == 1);
     CHECK(proxy::choose_upstream(linked.world.entry(), {.pool = service.listed.pool}));
     send(true);
     REQUIRE(linked.tick_until([&] { return service.busy_until > now(); }));
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -84,14 +84,14 @@
       kv_stores(this->context, [this] { return this->others.linked(); }) {}
 
 bool proxy::listen() {
-    this->callers = std::make_unique<caller_server>(
+    this->callers = std::make_unique<frontend_server>(
         this->loop.base(),
-        caller_handler{
+        frontend_callbacks{
             [this](const exchange_ptr& exchange) { this->on_request(exchange); },
             [this] {
                 const auto limits = this->state.config == nullptr ? routes::caller_limits{}
                                                                   : this->state.config->limits;
-                return caller_bounds{{static_cast<std::uint32_t>(limits.head_bytes),
+                return client_limits{{static_cast<std::uint32_t>(limits.head_bytes),
                                       static_cast<std::uint64_t>(limits.body_bytes)},
                                      limits.head_timeout,
                                      limits.idle_timeout};
@@ -120,18 +120,18 @@
 void proxy::share_out_descriptors() {
     const std::size_t limit = adapters::descriptor_limit();
     const auto shares = share_descriptors(limit);
-    this->callers->limit_connections(shares.callers);
+    this->callers->limit_connections(shares.clients);
     this->connections.limit_idle(shares.idle_upstreams);
     this->log.line(importance::keep, "descriptors_shared")
         .number("limit", static_cast<std::int64_t>(limit))
-        .number("most_callers", static_cast<std::int64_t>(shares.callers))
+        .number("most_callers", static_cast<std::int64_t>(shares.clients))
         .number("most_idle_upstreams", static_cast<std::int64_t>(shares.idle_upstreams))
         .number("reserve", static_cast<std::int64_t>(shares.reserve));
 }
 
-accepting_view proxy::view_accepting() const {
+accept_status proxy::view_accepting() const {
     return {this->callers->paused(), this->callers->pauses(), this->callers->open_connections(),
-            this->callers->most_connections()};
+            this->callers->max_connections()};
 }
 
 void proxy::serve_operators_and_balancer() {
@@ -249,7 +249,7 @@
     // Those that are called off end, and leave the list.
     const auto under_way = this->flows;
     for (const auto& [number, flow] : under_way) {
-        flow->call_off(held);
+        flow->cancel_if_quarantined(held);
     }
 }
 
@@ -288,9 +288,9 @@
 
 void proxy::tick() {
     this->note_readiness();
-    note_accepting(this->accepting, this->view_accepting(), this->context.now(), this->log);
+    log_accept_pauses(this->accepting, this->view_accepting(), this->context.now(), this->log);
     this->exit_when_done();
-    this->connections.sweep();
+    this->connections.close_expired();
     this->crashes.tick();
     this->quarantined.tick();
     this->others.tick();
@@ -347,20 +347,20 @@
         return;
     }
     this->state.stopping = true;
-    this->ending.begun_at = this->context.now();
+    this->ending.started_at = this->context.now();
     this->log.line(importance::keep, "stop")
         .number("flows", static_cast<std::int64_t>(this->flows.size()));
     this->note_readiness();
-    this->callers->close_after_answers();
+    this->callers->close_after_responses();
     this->others.resign();
     const shutdown_rules rules;
-    this->loop.after(rules.balancer_notices, [this] { this->exit_when_done(); });
+    this->loop.after(rules.balancer_detection_time, [this] { this->exit_when_done(); });
     this->loop.after(this->settings.bounds.grace - exit_margin - rules.resign_time,
                      [this] { this->leader.resign(); });
     this->loop.after(this->settings.bounds.grace - exit_margin, [this] {
         const auto left = this->flows;
         for (const auto& [number, flow] : left) {
-            flow->break_off();
+            flow->abort_for_shutdown();
         }
         this->loop.stop();
     });
@@ -369,11 +369,11 @@
 void proxy::exit_when_done() {
     const shutdown_rules rules;
     while (true) {
-        const auto step =
-            next_step(this->ending,
-                      {this->context.now(), this->flows.size(), this->callers->unsent()}, rules);
+        const auto step = advance_shutdown(
+            this->ending, {this->context.now(), this->flows.size(), this->callers->unsent()},
+            rules);
         switch (step) {
-        case shutdown_step::stop_taking:
+        case shutdown_step::stop_accepting:
             this->callers->stop();
             break;
         case shutdown_step::resign:
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -6,10 +6,10 @@
 #include "adapters/metrics.h"
 #include "adapters/platform_budget.h"
 #include "adapters/timeline.h"
-#include "proxy/caller_server.h"
 #include "proxy/context.h"
 #include "proxy/crash_watch.h"
 #include "proxy/descriptors.h"
+#include "proxy/frontend_server.h"
 #include "proxy/kv_store_follower.h"
 #include "proxy/leadership.h"
 #include "proxy/peers.h"
@@ -72,7 +72,7 @@
     [[nodiscard]] bool ready() const;
     void note_readiness();
     void share_out_descriptors();
-    [[nodiscard]] accepting_view view_accepting() const;
+    [[nodiscard]] accept_status view_accepting() const;
     [[nodiscard]] nlohmann::json status() const;
     void refresh_metrics();
     void refresh_weights_metric();
@@ -99,7 +99,7 @@
     crash_watch crashes;
     quarantine_records quarantined;
     kv_store_follower kv_stores;
-    std::unique_ptr<caller_server> callers;
+    std::unique_ptr<frontend_server> callers;
     std::unique_ptr<adapters::http_server> balancer;
     std::unique_ptr<adapters::http_server> operators;
     // By number, so that they are gone through in the order of their arrival.
@@ -107,7 +107,7 @@
     std::int64_t last_flow = 0;
     shutdown_state ending;
     bool was_ready = false;
-    accepting_notes accepting;
+    accept_log_state accepting;
     // Entries of the platform's list that could not be read, as last logged.
     std::map<base::upstream_id, std::int64_t> unreadable;
     // Listed upstreams whose address another one has taken, as last logged.
--- a/src/proxy/proxy_beliefs.cpp
+++ b/src/proxy/proxy_beliefs.cpp
@@ -129,7 +129,7 @@
     this->unreadable = list.unreadable;
     for (const auto& [id, by] : list.replaced) {
         fleet::mark_replaced(this->state.fleet, id);
-        this->connections.forget(id);
+        this->connections.close_idle(id);
         if (this->replaced.count(id) == 0) {
             this->log.line(importance::keep, "upstream_replaced")
                 .text("upstream", id.value)
@@ -166,7 +166,7 @@
         kvcache::forget_reader(this->state.cache, id);
     }
     for (const auto& id : change.removed) {
-        this->connections.forget(id);
+        this->connections.close_idle(id);
         kvcache::forget_reader(this->state.cache, id);
     }
 }
--- a/src/proxy/proxy_status.cpp
+++ b/src/proxy/proxy_status.cpp
@@ -71,9 +71,9 @@
     this->metrics.set("camphorrail_connections_opened",
                       static_cast<double>(this->connections.opened()));
     const auto accepting = this->view_accepting();
-    this->metrics.set("camphorrail_caller_connections", static_cast<double>(accepting.callers));
+    this->metrics.set("camphorrail_caller_connections", static_cast<double>(accepting.clients));
     this->metrics.set("camphorrail_most_caller_connections",
-                      static_cast<double>(accepting.most_callers));
+                      static_cast<double>(accepting.max_clients));
     this->metrics.set("camphorrail_accepting_pauses", static_cast<double>(accepting.pauses));
     this->metrics.set("camphorrail_idle_callers_closed",
                       static_cast<double>(this->callers->idle_closed()));
--- a/src/proxy/request_sending.cpp
+++ b/src/proxy/request_attempts.cpp
@@ -17,32 +17,32 @@
 using base::milliseconds;
 
 // What a request's way to an upstream and back takes at least.
-constexpr milliseconds hop{4};
+constexpr milliseconds min_round_trip{4};
 // An upstream that says how long it keeps idle connections is taken at its word, less a quarter.
 // One that says nothing is trusted for this long.
-constexpr milliseconds unknown_keep{2000};
+constexpr milliseconds default_keep_time{2000};
 // A call that may not run twice is lost if its connection turns out to be dead, so it takes only
 // connections that were used this recently; a new one costs a round trip.
-constexpr milliseconds once_longest_idle{700};
-constexpr base::seconds any_longest_idle{60};
+constexpr milliseconds non_repeatable_max_idle{700};
+constexpr base::seconds max_idle_time{60};
 
 } // namespace
 
 void request_flow::send_attempt() {
-    if (this->time_left() < least_time) {
-        this->out_of_time();
+    if (this->time_left() < min_attempt_time) {
+        this->on_timeout();
         return;
     }
-    if (this->stopped_by_quarantine()) {
+    if (this->refuse_if_quarantined()) {
         return;
     }
-    auto choice = choose_upstream(this->context, this->wanted);
+    auto choice = choose_upstream(this->context, this->criteria);
     if (!choice) {
-        this->give_up("no_upstream", base::code::no_upstream, base::code::upstream_failed,
-                      std::nullopt);
+        this->fail_request("no_upstream", base::code::no_upstream, base::code::upstream_failed,
+                           std::nullopt);
         return;
     }
-    if (this->is_untouched() && !this->admit_prompt(*choice)) {
+    if (this->is_first_attempt() && !this->admit_prompt(*choice)) {
         this->refuse_in_overload(*choice);
         return;
     }
@@ -58,98 +58,99 @@
     }
     auto& record = this->context.state.prompt_sizes[this->request.route->name];
     const auto verdict = kvcache::judge_prompt(
-        record, {tokens, choice.wait_ms, choice.first_byte_ms, this->wanted.target}, {});
+        record, {tokens, choice.wait_ms, choice.first_byte_ms, this->criteria.target}, {});
     if (verdict == kvcache::prompt_verdict::taken_for_its_size) {
         this->context.log.line(importance::keep, "taken_for_its_size")
-            .text("request", this->facts.request_id)
+            .text("request", this->metadata.request_id)
             .text("route", this->request.route->name)
             .number("prompt_tokens", tokens)
             .number("wait_ms", static_cast<std::int64_t>(choice.wait_ms))
             .number("expected_first_byte_ms", static_cast<std::int64_t>(choice.first_byte_ms))
-            .number("target_ms", this->wanted.target.count());
+            .number("target_ms", this->criteria.target.count());
         this->context.metrics.count("camphorrail_prompts_taken_for_their_size_total");
     }
     return verdict != kvcache::prompt_verdict::refused;
 }
 
 // Whether no upstream has had it yet.
-bool request_flow::is_untouched() const {
-    return this->begun == 0 && this->sent_again == 0 && this->unreachable == 0;
+bool request_flow::is_first_attempt() const {
+    return this->possible_executions == 0 && this->retry_count == 0 && this->unreachable_count == 0;
 }
 
 void request_flow::refuse_in_overload(const upstream_choice& choice) {
     this->context.log.line(importance::keep, "overloaded")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("route", this->request.route->name)
         .text("best_upstream", choice.id.value)
         .number("prompt_tokens", choice.chain.all_tokens())
-        .number("to_read", choice.to_read)
+        .number("to_read", choice.prefill_tokens)
         .number("wait_ms", static_cast<std::int64_t>(choice.wait_ms))
         .number("expected_first_byte_ms", static_cast<std::int64_t>(choice.first_byte_ms))
-        .number("target_ms", this->wanted.target.count())
-        .number("unread_there", choice.unread_there);
+        .number("target_ms", this->criteria.target.count())
+        .number("unread_there", choice.queued_tokens);
     this->refuse(base::code::overloaded, base::execution_state::not_run,
-                 kvcache::come_back_after(base::stable_hash(this->facts.request_id)));
+                 kvcache::come_back_after(base::stable_hash(this->metadata.request_id)));
 }
 
-ports::attempt_parameters request_flow::terms_of(const upstream_choice& choice) const {
-    ports::attempt_parameters terms;
-    terms.expected_instance = choice.id;
-    terms.team = this->request.team == nullptr ? base::team_id{} : this->request.team->id;
-    terms.time_left = this->time_left() - hop;
-    terms.priority = rank_of(this->request);
-    terms.cache_salt = choice.cache_salt;
-    terms.fetch_from = choice.fetch_from;
-    terms.save_to = choice.save_to;
-    terms.required_weights = choice.weights;
-    terms.last_event_id = this->events.last_event;
-    return terms;
+ports::attempt_parameters request_flow::parameters_for(const upstream_choice& choice) const {
+    ports::attempt_parameters parameters;
+    parameters.expected_instance = choice.id;
+    parameters.team = this->request.team == nullptr ? base::team_id{} : this->request.team->id;
+    parameters.time_left = this->time_left() - min_round_trip;
+    parameters.priority = priority_rank(this->request);
+    parameters.cache_salt = choice.cache_salt;
+    parameters.fetch_from = choice.fetch_from;
+    parameters.save_to = choice.save_to;
+    parameters.required_weights = choice.weights;
+    parameters.last_event_id = this->relay.last_event_id;
+    return parameters;
 }
 
 void request_flow::send_to(upstream_choice choice) {
-    const auto terms = this->terms_of(choice);
-    std::string bytes = this->request_bytes(terms);
-    this->log_sent(choice, terms);
+    const auto parameters = this->parameters_for(choice);
+    std::string bytes = this->request_bytes(parameters);
+    this->log_sent(choice, parameters);
     this->begin_attempt(std::move(choice));
-    this->watch_for_silence();
+    this->start_stall_timer();
     this->call_upstream(std::move(bytes));
 }
 
 // The request as its upstream gets it.
-std::string request_flow::request_bytes(const ports::attempt_parameters& terms) const {
+std::string request_flow::request_bytes(const ports::attempt_parameters& parameters) const {
     const auto& head = this->exchange->head;
     const bool has_body = !this->exchange->body.empty() || http::has(head.all, "Content-Length") ||
                           http::has(head.all, "Transfer-Encoding");
     const std::string written = http::write_request_head(
-        head.method, head.target, this->context.codec.make_attempt_fields(head, terms),
+        head.method, head.target, this->context.codec.make_attempt_fields(head, parameters),
         {has_body ? http::framing::length : http::framing::none, this->exchange->body.size()});
     return written + this->exchange->body;
 }
 
-void request_flow::log_sent(const upstream_choice& choice, const ports::attempt_parameters& terms) {
+void request_flow::log_sent(const upstream_choice& choice,
+                            const ports::attempt_parameters& parameters) {
     this->context.log.line(importance::routine, "sent")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("route", this->request.route->name)
         .text("kind", this->kind_name())
         .text("upstream", choice.id.value)
-        .text("why", choice.why)
+        .text("why", choice.reason)
         .number("store_revision", this->context.state.store.revision)
-        .span("unlisted_ms", this->unlisted_for(choice.id))
+        .span("unlisted_ms", this->unlisted_time(choice.id))
         .number("weights", choice.weights)
-        .span("weights_outdated_ms", choice.outdated_for.value_or(base::milliseconds(-1)))
+        .span("weights_outdated_ms", choice.weights_outdated_for.value_or(base::milliseconds(-1)))
         .text("fetch_from", choice.fetch_from)
         .number("config_version", this->request.config->version)
         .span("config_age_ms", logged_config_age(this->context))
-        .number("time_left_ms", terms.time_left.count())
-        .number("rank", terms.priority)
+        .number("time_left_ms", parameters.time_left.count())
+        .number("rank", parameters.priority)
         .number("prompt_tokens", choice.chain.all_tokens())
-        .number("to_read", choice.to_read)
-        .number("unread_there", choice.unread_there)
+        .number("to_read", choice.prefill_tokens)
+        .number("unread_there", choice.queued_tokens)
         .number("wait_ms", static_cast<std::int64_t>(choice.wait_ms))
         .number("fetch_ms", static_cast<std::int64_t>(choice.fetch_ms))
         .number("expected_first_byte_ms", static_cast<std::int64_t>(choice.first_byte_ms))
-        .number("tries", this->begun + this->sent_again + this->unreachable)
-        .flag("suspect", this->wanted.suspect);
+        .number("tries", this->possible_executions + this->retry_count + this->unreachable_count)
+        .flag("suspect", this->criteria.suspect);
 }
 
 // Takes a connection, and notes everywhere that the attempt is under way.
@@ -160,42 +161,42 @@
     this->last_progress = this->current->sent_at;
     const auto& sent = this->current->choice;
     const bool once = !may_repeat(*this->request.route);
-    this->current->connection = this->context.connections.take(
-        sent.id, sent.address, once ? base::micros(once_longest_idle) : any_longest_idle);
-    if (auto* one = this->member_of_attempt()) {
-        this->current->last_resort = !fleet::is_available(*one);
-        fleet::begin_work(one->local_work, this->work_of_attempt());
+    this->current->connection = this->context.connections.acquire(
+        sent.id, sent.address, once ? base::micros(non_repeatable_max_idle) : max_idle_time);
+    if (auto* member = this->current_member()) {
+        this->current->last_resort = !fleet::is_available(*member);
+        fleet::begin_work(member->local_work, this->current_work());
     }
-    if (this->wanted.suspect) {
+    if (this->criteria.suspect) {
         this->current->trial = true;
         quarantine::begin_trial(this->context.state.quarantine, this->identity().digest, sent.id,
                                 this->current->sent_at, {});
     }
-    this->count_prompt_placed();
-    this->note_prompt_sent();
+    this->count_placed_tokens();
+    this->record_prompt_sent();
     this->renew_begin_deadline();
 }
 
 // By when the upstream must have begun; nothing where it holds no weights.
-std::optional<base::instant> request_flow::begin_deadline_of_attempt() const {
+std::optional<base::instant> request_flow::current_begin_deadline() const {
     const auto weights = this->current->choice.weights;
     if (weights == 0) {
         return std::nullopt;
     }
-    return begin_deadline(this->context, this->facts.model, weights);
+    return begin_deadline(this->context, this->metadata.model, weights);
 }
 
 void request_flow::renew_begin_deadline() {
-    if (!this->current || this->current->begun) {
+    if (!this->current || this->current->response_started) {
         return;
     }
-    const auto deadline = this->begin_deadline_of_attempt();
+    const auto deadline = this->current_begin_deadline();
     if (deadline) {
         this->weights_timer.set(std::max(*deadline - this->context.now(), base::micros(0)));
     }
 }
 
-void request_flow::count_prompt_placed() {
+void request_flow::count_placed_tokens() {
     const auto& sent = this->current->choice;
     const auto all_tokens = sent.chain.all_tokens();
     if (all_tokens == 0) {
@@ -205,59 +206,59 @@
         this->context.metrics.count("camphorrail_prompt_tokens_placed_total",
                                     {{"expected", expected}}, static_cast<double>(tokens));
     };
-    count("held", all_tokens - sent.to_read);
-    count("read", sent.to_read);
+    count("held", all_tokens - sent.prefill_tokens);
+    count("read", sent.prefill_tokens);
 }
 
 void request_flow::call_upstream(std::string bytes) {
     const std::weak_ptr<request_flow> weak = this->weak_from_this();
     this->current->connection->call(std::move(bytes),
                                     {[weak](const http::response_head& answer) {
-                                         const auto held = weak.lock();
-                                         return held != nullptr && held->started(answer);
+                                         const auto self = weak.lock();
+                                         return self != nullptr && self->on_response_head(answer);
                                      },
                                      [weak](std::string piece) {
-                                         if (const auto held = weak.lock()) {
-                                             held->received(std::move(piece));
+                                         if (const auto self = weak.lock()) {
+                                             self->on_response_body(std::move(piece));
                                          }
                                      },
                                      [weak] {
-                                         if (const auto held = weak.lock()) {
-                                             held->ended();
+                                         if (const auto self = weak.lock()) {
+                                             self->on_response_end();
                                          }
                                      },
-                                     [weak](call_failure why) {
-                                         if (const auto held = weak.lock()) {
-                                             held->failed(why);
+                                     [weak](call_failure reason) {
+                                         if (const auto self = weak.lock()) {
+                                             self->on_attempt_failed(reason);
                                          }
                                      },
                                      [weak] {
-                                         const auto held = weak.lock();
-                                         return held != nullptr && held->may_leave();
+                                         const auto self = weak.lock();
+                                         return self != nullptr && self->may_still_send();
                                      }});
 }
 
 // Whether the attempt, whose connection stands only now, may still go to its upstream. On a VM
 // whose turn is long, that takes up to a second, in which the list, or an answer, may say that the
 // upstream leaves; sent then, it reached the upstream beyond the bound on that.
-bool request_flow::may_leave() const {
-    const auto* one = this->member_of_attempt();
+bool request_flow::may_still_send() const {
+    const auto* member = this->current_member();
     const base::instant now = this->context.now();
-    if (one == nullptr || now < one->pause_until) {
+    if (member == nullptr || now < member->pause_until) {
         return false;
     }
-    const auto deadline = this->begin_deadline_of_attempt();
+    const auto deadline = this->current_begin_deadline();
     if (deadline && now >= *deadline) {
         return false;
     }
     if (this->current->last_resort) {
-        return fleet::may_serve_in_grace(*one, now, fleet_rules_of(this->context.settings));
+        return fleet::may_serve_in_grace(*member, now, fleet_rules_of(this->context.settings));
     }
-    return fleet::is_available(*one);
+    return fleet::is_available(*member);
 }
 
 // Notes what the request will have the upstream hold, and what it takes of a store's link.
-void request_flow::note_prompt_sent() {
+void request_flow::record_prompt_sent() {
     const auto& sent = this->current->choice;
     auto& state = this->context.state;
     if (sent.chain.shared_tokens() >= kvcache::least_tracked_tokens) {
@@ -270,20 +271,20 @@
     }
 }
 
-fleet::request_work request_flow::work_of_attempt() const {
+fleet::request_work request_flow::current_work() const {
     const auto& choice = this->current->choice;
     const bool short_prompt = choice.chain.all_tokens() > 0 && !kvcache::is_long(choice.chain);
-    return {choice.chain.all_tokens(), choice.to_read, !may_repeat(*this->request.route),
+    return {choice.chain.all_tokens(), choice.prefill_tokens, !may_repeat(*this->request.route),
             short_prompt};
 }
 
 // The attempt is over and its connection may serve another call.
-void request_flow::leave_attempt() {
-    this->silence_timer.clear();
+void request_flow::end_attempt() {
+    this->stall_timer.clear();
     this->weights_timer.clear();
-    auto* one = this->member_of_attempt();
-    if (one != nullptr) {
-        fleet::end_work(one->local_work, this->work_of_attempt(), this->current->begun);
+    auto* member = this->current_member();
+    if (member != nullptr) {
+        fleet::end_work(member->local_work, this->current_work(), this->current->response_started);
     }
     if (this->current->trial) {
         quarantine::end_trial(this->context.state.quarantine, this->identity().digest);
@@ -295,15 +296,17 @@
     const auto known = upstreams.find(left.choice.id);
     const bool restarted =
         known != upstreams.end() && known->second.listed.incarnation != left.choice.incarnation;
-    const auto idle = left.facts.idle_timeout;
+    const auto idle = left.metadata.idle_timeout;
     // A connection to an earlier life is dead, and would lose the next call that is sent on it.
-    const base::micros keep = restarted ? base::micros(0) : idle ? *idle * 3 / 4 : unknown_keep;
-    this->context.connections.give_back(left.choice.id, left.connection, keep);
+    const base::micros keep = restarted ? base::micros(0)
+                              : idle    ? *idle * 3 / 4
+                                        : default_keep_time;
+    this->context.connections.release(left.choice.id, left.connection, keep);
 }
 
 void request_flow::cancel_attempt() {
     this->current->connection->cancel();
-    this->leave_attempt();
+    this->end_attempt();
 }
 
 } // namespace camphorrail::proxy
--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -16,28 +16,28 @@
 using base::milliseconds;
 
 // For routes without a timeout, from callers without a deadline.
-constexpr milliseconds default_limit{60000};
+constexpr milliseconds default_timeout{60000};
 
-std::uint64_t number_of(const ports::client_request& facts) {
-    const bool shares = facts.prompt_parts.size() > 1;
-    return base::stable_hash(shares ? facts.prompt_parts[facts.prompt_parts.size() - 2].id
-                                    : facts.request_id);
+std::uint64_t request_hash(const ports::client_request& metadata) {
+    const bool shares = metadata.prompt_parts.size() > 1;
+    return base::stable_hash(shares ? metadata.prompt_parts[metadata.prompt_parts.size() - 2].id
+                                    : metadata.request_id);
 }
 
-std::int64_t prompt_tokens(const ports::client_request& facts) {
+std::int64_t prompt_tokens(const ports::client_request& metadata) {
     return std::accumulate(
-        facts.prompt_parts.begin(), facts.prompt_parts.end(), std::int64_t{0},
+        metadata.prompt_parts.begin(), metadata.prompt_parts.end(), std::int64_t{0},
         [](std::int64_t sum, const auto& part) { return sum + part.size.value; });
 }
 
 } // namespace
 
-http::fields caller_fields(const http::response_head& head) {
+http::fields client_fields(const http::response_head& head) {
     http::fields sent;
-    for (const auto& one : head.all) {
-        if (!http::same_name(one.name, "Content-Length") &&
-            !http::is_hop_by_hop(head.all, one.name)) {
-            sent.push_back(one);
+    for (const auto& field : head.all) {
+        if (!http::same_name(field.name, "Content-Length") &&
+            !http::is_hop_by_hop(head.all, field.name)) {
+            sent.push_back(field);
         }
     }
     return sent;
@@ -45,22 +45,22 @@
 
 request_flow::request_flow(entry_context& context, exchange_ptr exchange)
     : context(context), exchange(std::move(exchange)),
-      overall(context.loop.base(), [this] { this->out_of_time(); }),
-      silence_timer(context.loop.base(), [this] { this->look_for_silence(); }),
-      weights_timer(context.loop.base(), [this] { this->weights_expired(); }),
-      trial_timer(context.loop.base(), [this] { this->send_again_as_judged(); }) {}
+      timeout_timer(context.loop.base(), [this] { this->on_timeout(); }),
+      stall_timer(context.loop.base(), [this] { this->check_for_stall(); }),
+      weights_timer(context.loop.base(), [this] { this->on_weights_expired(); }),
+      trial_timer(context.loop.base(), [this] { this->retry_after_trial(); }) {}
 
 void request_flow::begin() {
-    const auto held = this->shared_from_this();
-    const std::weak_ptr<request_flow> weak = held;
-    this->exchange->gone.connect([weak] {
+    const auto self = this->shared_from_this();
+    const std::weak_ptr<request_flow> weak = self;
+    this->exchange->disconnected.connect([weak] {
         if (const auto flow = weak.lock()) {
-            flow->caller_gone();
+            flow->on_client_disconnected();
         }
     });
     this->exchange->drained.connect([weak] {
         if (const auto flow = weak.lock()) {
-            flow->caller_caught_up();
+            flow->on_client_drained();
         }
     });
     auto read = this->context.codec.parse_request(this->exchange->head);
@@ -68,41 +68,41 @@
         this->refuse(base::to_code(read.error()), base::execution_state::not_run, milliseconds(0));
         return;
     }
-    this->facts = std::move(read.value());
+    this->metadata = std::move(read.value());
     const auto admission = admit({this->context.state.config,
                                   mirror::age(this->context.state.store, this->context.now()),
                                   max_config_age(this->context.settings)},
-                                 this->exchange->head, this->facts);
+                                 this->exchange->head, this->metadata);
     if (!admission.has_value()) {
         const auto number = base::to_code(admission.error());
-        const bool come_back = number == base::code::not_ready;
+        const bool may_succeed_elsewhere = number == base::code::not_ready;
         this->refuse(number, base::execution_state::not_run,
-                     come_back ? other_entry : milliseconds(0));
+                     may_succeed_elsewhere ? other_entry_delay : milliseconds(0));
         return;
     }
     this->request = admission.value();
     const auto& route = *this->request.route;
-    this->limit = route.timeout.count() > 0 ? route.timeout : default_limit;
-    if (this->facts.deadline) {
-        this->limit = std::min(this->limit, *this->facts.deadline);
+    this->timeout = route.timeout.count() > 0 ? route.timeout : default_timeout;
+    if (this->metadata.deadline) {
+        this->timeout = std::min(this->timeout, *this->metadata.deadline);
     }
-    this->wanted.number = number_of(this->facts);
-    this->wanted.pool = routes::choose_pool(route, this->wanted.number);
-    this->wanted.target = route.target;
-    this->wanted.prompt = route.shares_prompts ? &this->facts : nullptr;
+    this->criteria.hash = request_hash(this->metadata);
+    this->criteria.pool = routes::choose_pool(route, this->criteria.hash);
+    this->criteria.target = route.target;
+    this->criteria.prompt = route.shares_prompts ? &this->metadata : nullptr;
     if (this->request.team != nullptr && this->request.team->isolated) {
-        this->wanted.isolated_team = this->request.team->id;
+        this->criteria.isolated_team = this->request.team->id;
     }
-    admission::note_request(this->context.state.retries[this->wanted.pool], this->context.now());
-    if (this->stopped_by_quota()) {
+    admission::note_request(this->context.state.retries[this->criteria.pool], this->context.now());
+    if (this->refuse_if_over_quota()) {
         return;
     }
-    this->overall.set(this->time_left());
+    this->timeout_timer.set(this->time_left());
     this->send_attempt();
 }
 
 milliseconds request_flow::time_left() const {
-    return this->limit - std::chrono::duration_cast<milliseconds>(this->age());
+    return this->timeout - std::chrono::duration_cast<milliseconds>(this->age());
 }
 
 base::micros request_flow::age() const {
@@ -110,7 +110,7 @@
 }
 
 // How long the platform's list has lacked the upstream, as logs show it; -1 where it is listed.
-base::micros request_flow::unlisted_for(const base::upstream_id& id) const {
+base::micros request_flow::unlisted_time(const base::upstream_id& id) const {
     constexpr base::milliseconds listed{-1};
     const auto& members = this->context.state.fleet.members;
     const auto found = members.find(id);
@@ -133,22 +133,22 @@
     return this->request.route->resumable ? "resumable_stream" : "stream";
 }
 
-fleet::member* request_flow::member_of_attempt() const {
+fleet::member* request_flow::current_member() const {
     return fleet::find_instance(this->context.state.fleet, instance_of(this->current->choice));
 }
 
 void request_flow::refuse(base::code number, base::execution_state ran, milliseconds retry_after) {
-    if (this->error_answer) {
+    if (this->upstream_error) {
         // An upstream's own error says more than ours.
-        const whole_answer kept = std::move(*this->error_answer);
-        this->exchange->answer(kept.head.status, caller_fields(kept.head), kept.body);
+        const full_response kept = std::move(*this->upstream_error);
+        this->exchange->respond(kept.head.status, client_fields(kept.head), kept.body);
         this->finish("upstream_error", kept.head.status);
         return;
     }
     const int status = base::describe(number).http_status;
-    const auto upstreams = count_pool(this->context, this->wanted.pool);
+    const auto upstreams = count_upstreams(this->context, this->criteria.pool);
     this->context.log.line(importance::keep, "refused")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("kind", this->kind_name())
         .text("code", base::describe(number).name)
         .text("ran", base::to_string(ran))
@@ -156,58 +156,58 @@
         .number("config_version",
                 this->context.state.config == nullptr ? 0 : this->context.state.config->version)
         .span("config_age_ms", logged_config_age(this->context))
-        .number("sent_again", this->sent_again)
-        .number("unreachable", this->unreachable)
+        .number("sent_again", this->retry_count)
+        .number("unreachable", this->unreachable_count)
         .number("pool_listed", upstreams.listed)
-        .number("pool_fit", upstreams.fit)
+        .number("pool_fit", upstreams.eligible)
         .number("pool_busy", upstreams.busy)
         .number("pool_suspected", upstreams.suspected);
     this->context.metrics.count("camphorrail_refusals_total",
                                 {{"code", std::string(base::describe(number).name)},
                                  {"ran", std::string(base::to_string(ran))}});
     const process::problem problem{number, ran, retry_after, ""};
-    this->exchange->answer(
-        status, this->context.codec.make_refusal_fields(this->facts.request_id, retry_after),
+    this->exchange->respond(
+        status, this->context.codec.make_refusal_fields(this->metadata.request_id, retry_after),
         process::to_json(problem) + "\n");
     this->finish("refused", status);
 }
 
 // The answer has begun and can't be completed, or there is nobody to answer.
-void request_flow::end_without_answer(const char* why) {
+void request_flow::abort_response(const char* reason) {
     this->exchange->abort();
     this->context.log.line(importance::keep, "broken_off")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("kind", this->kind_name())
-        .text("why", why)
-        .text("last_event", this->events.last_event);
-    this->finish(why, 0);
+        .text("why", reason)
+        .text("last_event", this->relay.last_event_id);
+    this->finish(reason, 0);
 }
 
 void request_flow::finish(const char* outcome, int status) {
-    if (this->state == answer_state::ended) {
+    if (this->state == response_state::ended) {
         return;
     }
-    this->state = answer_state::ended;
+    this->state = response_state::ended;
     this->settle_quota();
-    this->overall.clear();
-    this->silence_timer.clear();
+    this->timeout_timer.clear();
+    this->stall_timer.clear();
     this->trial_timer.clear();
-    const bool fine = std::string_view(outcome) == "ok";
-    this->context.log.line(fine ? importance::routine : importance::keep, "ended")
-        .text("request", this->facts.request_id)
+    const bool succeeded = std::string_view(outcome) == "ok";
+    this->context.log.line(succeeded ? importance::routine : importance::keep, "ended")
+        .text("request", this->metadata.request_id)
         .text("outcome", outcome)
         .number("status", status)
-        .number("prompt_tokens", prompt_tokens(this->facts))
-        .span("first_byte_ms", this->first_byte.value_or(base::micros(0)))
+        .number("prompt_tokens", prompt_tokens(this->metadata))
+        .span("first_byte_ms", this->time_to_first_byte.value_or(base::micros(0)))
         .span("longest_pause_ms", this->longest_pause)
         .span("total_ms", this->age())
-        .number("begun", this->begun)
-        .number("sent_again", this->sent_again);
+        .number("begun", this->possible_executions)
+        .number("sent_again", this->retry_count);
     this->context.metrics.count("camphorrail_answers_total",
                                 {{"kind", this->kind_name()}, {"outcome", outcome}});
-    const auto told = std::move(this->on_end);
-    if (told) {
-        told();
+    const auto callback = std::move(this->on_end);
+    if (callback) {
+        callback();
     }
 }
 
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -632,10 +632,10 @@
     }
     SECTION("and none is sent") {
         world.state.store.proved_at = seen_long_ago();
-        const ports::client_request facts{.request_id = "r1", .model = {"desk-8b"}};
-        CHECK_FALSE(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &facts}));
+        const ports::client_request metadata{.request_id = "r1", .model = {"desk-8b"}};
+        CHECK_FALSE(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &metadata}));
         world.prove_config();
-        CHECK(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &facts}));
+        CHECK(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &metadata}));
     }
 }
 
--- a/src/proxy/request_quarantine.cpp
+++ b/src/proxy/request_quarantine.cpp
@@ -10,59 +10,60 @@
 using base::milliseconds;
 
 // Most trials are over within this time.
-constexpr milliseconds trial_hint{300};
+constexpr milliseconds trial_delay{300};
 
 } // namespace
 
 const quarantine::request_identity& request_flow::identity() {
-    if (!this->known_identity) {
-        const std::string_view caller =
-            this->request.team == nullptr ? this->facts.bearer_key : this->request.team->id.value;
-        this->known_identity =
+    if (!this->cached_identity) {
+        const std::string_view caller = this->request.team == nullptr
+                                            ? this->metadata.bearer_key
+                                            : this->request.team->id.value;
+        this->cached_identity =
             quarantine::identify({this->exchange->head.target, caller, this->exchange->body});
     }
-    return *this->known_identity;
+    return *this->cached_identity;
 }
 
 // Whether the request may not be sent now; it is ended then.
-bool request_flow::stopped_by_quarantine() {
-    this->wanted.suspect = false;
+bool request_flow::refuse_if_quarantined() {
+    this->criteria.suspect = false;
     const auto& known = this->context.state.quarantine;
     if (!quarantine::may_be_suspect(known, this->exchange->body.size())) {
         return false;
     }
     const auto judged = quarantine::judge(known, this->identity().digest, this->context.now(), {});
-    this->wanted.suspect = judged.what == quarantine::verdict::trial;
-    if (judged.what == quarantine::verdict::free || this->wanted.suspect) {
+    this->criteria.suspect = judged.what == quarantine::verdict::trial;
+    if (judged.what == quarantine::verdict::free || this->criteria.suspect) {
         return false;
     }
     const bool held = judged.what == quarantine::verdict::held;
     const auto number = held ? base::code::quarantined : base::code::suspect_tried;
-    const char* why = held ? "quarantined" : "suspect_tried";
+    const char* reason = held ? "quarantined" : "suspect_tried";
     this->context.log.line(importance::keep, "kept_from_upstreams")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("digest", this->identity().digest.value)
-        .text("why", why)
+        .text("why", reason)
         .span("left_ms", judged.left);
-    this->give_up(why, number, base::code::upstream_failed,
-                  held ? std::chrono::ceil<milliseconds>(judged.left) : trial_hint);
+    this->fail_request(reason, number, base::code::upstream_failed,
+                       held ? std::chrono::ceil<milliseconds>(judged.left) : trial_delay);
     return true;
 }
 
-void request_flow::acquit() {
+void request_flow::clear_suspicion() {
     auto& known = this->context.state.quarantine;
     if (quarantine::may_be_suspect(known, this->exchange->body.size())) {
         quarantine::acquit(known, this->identity().digest, this->context.now());
     }
 }
 
-void request_flow::call_off(const quarantine::hold& held) {
-    const bool may_begin =
-        this->state == answer_state::none && this->current && !this->current->begun;
-    const bool same_size = this->exchange->body.size() == held.request.body_bytes;
-    if (may_begin && same_size && this->identity() == held.request) {
-        this->end_early("quarantined", base::code::quarantined, base::code::upstream_failed,
-                        std::chrono::ceil<milliseconds>(held.span));
+void request_flow::cancel_if_quarantined(const quarantine::hold& hold) {
+    const bool may_cancel =
+        this->state == response_state::none && this->current && !this->current->response_started;
+    const bool same_body_size = this->exchange->body.size() == hold.request.body_bytes;
+    if (may_cancel && same_body_size && this->identity() == hold.request) {
+        this->terminate("quarantined", base::code::quarantined, base::code::upstream_failed,
+                        std::chrono::ceil<milliseconds>(hold.span));
     }
 }
 
--- a/src/proxy/request_quota.cpp
+++ b/src/proxy/request_quota.cpp
@@ -9,31 +9,31 @@
 using adapters::importance;
 using base::milliseconds;
 
-quota::units cost_of(const routes::team_quota& limit, const ports::client_request& facts) {
+quota::units quota_cost(const routes::team_quota& limit, const ports::client_request& metadata) {
     if (limit.unit == routes::quota_unit::requests) {
         return {1};
     }
-    return {facts.max_total_tokens.value_or(limit.plain_tokens)};
+    return {metadata.max_total_tokens.value_or(limit.plain_tokens)};
 }
 
 } // namespace
 
 // Whether the request's team has used up its quota; the request is refused then.
-bool request_flow::stopped_by_quota() {
+bool request_flow::refuse_if_over_quota() {
     const auto* team = this->request.team;
     if (team == nullptr || !routes::is_limited(team->quota)) {
         return false;
     }
-    const auto cost = cost_of(team->quota, this->facts);
+    const auto cost = quota_cost(team->quota, this->metadata);
     const auto taken = quota::take(this->context.state.quotas, team->id, cost,
-                                   base::stable_hash(this->facts.request_id), this->context.now(),
-                                   quota_rules_of(this->context.settings));
+                                   base::stable_hash(this->metadata.request_id),
+                                   this->context.now(), quota_rules_of(this->context.settings));
     if (taken.admitted) {
-        this->charged = cost;
+        this->charged_quota = cost;
         return false;
     }
     this->context.log.line(importance::keep, "over_quota")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("team", team->id.value)
         .number("cost", cost.value)
         .number("left", static_cast<std::int64_t>(taken.balance))
@@ -49,13 +49,13 @@
 
 // Each upstream that may have begun on the request counts; a request that none has is free.
 void request_flow::settle_quota() {
-    if (!this->charged) {
+    if (!this->charged_quota) {
         return;
     }
-    const quota::units ran{this->charged->value * this->begun};
-    quota::settle(this->context.state.quotas, this->request.team->id, *this->charged, ran,
+    const quota::units ran{this->charged_quota->value * this->possible_executions};
+    quota::settle(this->context.state.quotas, this->request.team->id, *this->charged_quota, ran,
                   this->context.now());
-    this->charged.reset();
+    this->charged_quota.reset();
 }
 
 } // namespace camphorrail::proxy
--- a/src/proxy/request_answers.cpp
+++ b/src/proxy/request_responses.cpp
@@ -13,146 +13,147 @@
 
 // Bytes that a caller may lag behind before its upstream is read no further, and bytes of an answer
 // that is held whole.
-constexpr std::size_t unsent_pause_bytes = 256U << 10U;
-constexpr std::size_t most_whole_bytes = 8U << 20U;
+constexpr std::size_t max_unsent_bytes = 256U << 10U;
+constexpr std::size_t max_buffered_bytes = 8U << 20U;
 constexpr int first_error_status = 500;
 constexpr int first_refusal_status = 300;
 // An upstream that is full, or is just changing weights, is asked again after this long.
-constexpr milliseconds full_pause{40};
+constexpr milliseconds overload_pause{40};
 constexpr milliseconds loading_pause{250};
 
 } // namespace
 
-bool request_flow::started(const http::response_head& head) {
+bool request_flow::on_response_head(const http::response_head& head) {
     const auto answer = this->context.codec.parse_response(head);
-    if (answer.request_id != this->facts.request_id) {
+    if (answer.request_id != this->metadata.request_id) {
         // An upstream may send a second answer to an earlier request; ours is still to come.
         this->context.log.line(importance::keep, "foreign_answer_dropped")
-            .text("request", this->facts.request_id)
+            .text("request", this->metadata.request_id)
             .text("upstream", this->current->choice.id.value)
             .text("answers", answer.request_id)
             .number("status", head.status);
         return false;
     }
-    this->note_heard();
-    this->current->answering = true;
+    this->record_progress();
+    this->current->head_received = true;
     this->current->head = head;
-    this->current->facts = answer;
-    if (auto* one = this->member_of_attempt(); one != nullptr && answer.load) {
-        one->load = answer.load;
-        one->load_at = this->context.now();
+    this->current->metadata = answer;
+    if (auto* member = this->current_member(); member != nullptr && answer.load) {
+        member->load = answer.load;
+        member->load_at = this->context.now();
     }
-    this->note_what_it_says();
+    this->handle_upstream_signals();
     return true;
 }
 
 // What an upstream says of itself beside the answer holds at once: the answer's end may be far.
-void request_flow::note_what_it_says() {
-    const auto& answer = this->current->facts;
+void request_flow::handle_upstream_signals() {
+    const auto& answer = this->current->metadata;
     const auto upstream = instance_of(this->current->choice);
     if (answer.draining && record_drain_report(this->context, upstream, "", this->context.now())) {
         this->context.broadcast_drain(upstream);
     }
     if (answer.pause) {
         this->context.log.line(importance::keep, "upstream_wants_pause")
-            .text("request", this->facts.request_id)
+            .text("request", this->metadata.request_id)
             .text("upstream", upstream.id.value)
             .span("pause_ms", *answer.pause);
-        if (auto* one = this->member_of_attempt()) {
-            fleet::record_pause(*one, *answer.pause, this->context.now());
+        if (auto* member = this->current_member()) {
+            fleet::record_pause(*member, *answer.pause, this->context.now());
         }
     }
 }
 
-void request_flow::note_heard() {
+void request_flow::record_progress() {
     this->last_progress = this->context.now();
-    if (auto* one = this->member_of_attempt()) {
-        one->last_byte_at = this->last_progress;
+    if (auto* member = this->current_member()) {
+        member->last_byte_at = this->last_progress;
     }
 }
 
-void request_flow::received(std::string bytes) {
-    this->note_heard();
+void request_flow::on_response_body(std::string bytes) {
+    this->record_progress();
     const bool success = this->current->head.status < first_refusal_status;
     if (success && this->request.route->kind == routes::request_kind::stream) {
-        this->pass_on(bytes);
+        this->forward_events(bytes);
         return;
     }
-    this->whole_body += bytes;
-    if (this->whole_body.size() > most_whole_bytes) {
-        this->failed(call_failure::malformed);
+    this->body_buffer += bytes;
+    if (this->body_buffer.size() > max_buffered_bytes) {
+        this->on_attempt_failed(call_failure::malformed);
     }
 }
 
-void request_flow::pass_on(const std::string& bytes) {
-    const std::string whole_events = relay(this->events, bytes);
-    if (whole_events.empty()) {
+void request_flow::forward_events(const std::string& bytes) {
+    const std::string complete_events = relay_events(this->relay, bytes);
+    if (complete_events.empty()) {
         return;
     }
-    this->count_first_byte();
-    this->note_pause();
-    if (this->state == answer_state::none) {
-        this->state = answer_state::streaming;
-        this->exchange->start(this->current->head.status, caller_fields(this->current->head));
+    this->record_first_byte();
+    this->record_pause();
+    if (this->state == response_state::none) {
+        this->state = response_state::streaming;
+        this->exchange->start(this->current->head.status, client_fields(this->current->head));
     }
-    this->exchange->send(whole_events);
-    this->watch_for_silence();
-    if (this->exchange->unsent() > unsent_pause_bytes) {
-        this->paused = true;
+    this->exchange->send(complete_events);
+    this->start_stall_timer();
+    if (this->exchange->unsent() > max_unsent_bytes) {
+        this->reading_paused = true;
         this->current->connection->pause_reading();
     }
 }
 
 // The first byte shows that the upstream has read the prompt and holds it from now on.
-void request_flow::count_first_byte() {
-    if (this->current->begun) {
+void request_flow::record_first_byte() {
+    if (this->current->response_started) {
         return;
     }
-    this->current->begun = true;
-    this->current->begun_at = this->context.now();
-    if (auto* one = this->member_of_attempt()) {
-        fleet::note_begun(one->local_work, this->work_of_attempt());
+    this->current->response_started = true;
+    this->current->first_byte_at = this->context.now();
+    if (auto* member = this->current_member()) {
+        fleet::note_begun(member->local_work, this->current_work());
     }
-    this->note_prompt_read();
-    if (!this->first_byte) {
-        this->first_byte = this->age();
+    this->report_prompt_read();
+    if (!this->time_to_first_byte) {
+        this->time_to_first_byte = this->age();
         this->context.metrics.observe_seconds(
             "camphorrail_first_byte_seconds",
-            std::chrono::duration<double>(*this->first_byte).count(),
+            std::chrono::duration<double>(*this->time_to_first_byte).count(),
             {{"kind", this->kind_name()}});
     }
 }
 
 // Callers hold an answer for late whose events pause, however early it began.
-void request_flow::note_pause() {
+void request_flow::record_pause() {
     const base::instant now = this->context.now();
-    if (this->state == answer_state::streaming) {
-        this->longest_pause = std::max<base::micros>(this->longest_pause, now - this->last_events);
+    if (this->state == response_state::streaming) {
+        this->longest_pause =
+            std::max<base::micros>(this->longest_pause, now - this->last_forwarded_at);
     }
-    this->last_events = now;
+    this->last_forwarded_at = now;
 }
 
 // Nothing where the upstream changed weights meanwhile: it was not the prompt that took so long.
-latency::first_byte_sample request_flow::shown_by_attempt() const {
+latency::first_byte_sample request_flow::first_byte_sample() const {
     const auto& choice = this->current->choice;
-    const auto* one = this->member_of_attempt();
-    if (one == nullptr || one->weights_change_until > this->current->sent_at) {
+    const auto* member = this->current_member();
+    if (member == nullptr || member->weights_change_until > this->current->sent_at) {
         return {};
     }
     const std::chrono::duration<double, std::milli> taken =
         this->context.now() - this->current->sent_at;
-    const auto to_read = static_cast<double>(choice.to_read);
+    const auto to_read = static_cast<double>(choice.prefill_tokens);
     const auto all = static_cast<double>(choice.chain.all_tokens());
-    return {
-        {to_read, static_cast<double>(choice.unread_there), latency::attention_pairs(to_read, all)},
-        std::max(0.0, taken.count() - choice.fetch_ms)};
+    return {{to_read, static_cast<double>(choice.queued_tokens),
+             latency::attention_pairs(to_read, all)},
+            std::max(0.0, taken.count() - choice.fetch_ms)};
 }
 
 // Tells who holds the prompt now, here and to the other entries.
-void request_flow::note_prompt_read() {
+void request_flow::report_prompt_read() {
     const auto& choice = this->current->choice;
     const auto& chain = choice.chain;
-    const bool holds = this->member_of_attempt() != nullptr;
+    const bool holds = this->current_member() != nullptr;
     if (!holds || chain.shared_tokens() < kvcache::least_tracked_tokens) {
         return;
     }
@@ -164,117 +165,117 @@
     read.weights = choice.weights;
     read.by = instance_of(choice);
     read.saved = !choice.save_to.empty();
-    read.shown = this->shown_by_attempt();
+    read.shown = this->first_byte_sample();
     proxy::record_prompt_read(this->context, read);
     this->context.state.unreported_reads.push_back(std::move(read));
 }
 
-void request_flow::ended() {
-    const auto held = this->shared_from_this();
-    if (this->current->facts.not_run) {
-        this->refused_by_upstream();
+void request_flow::on_response_end() {
+    const auto self = this->shared_from_this();
+    if (this->current->metadata.not_run) {
+        this->on_upstream_refusal();
         return;
     }
-    ++this->begun;
-    this->acquit();
+    ++this->possible_executions;
+    this->clear_suspicion();
     const bool success = this->current->head.status < first_refusal_status;
-    if (this->state == answer_state::streaming && !success) {
-        this->failed_to_go_on();
+    if (this->state == response_state::streaming && !success) {
+        this->on_resume_failed();
         return;
     }
-    if (this->state == answer_state::streaming) {
+    if (this->state == response_state::streaming) {
         const int status = this->current->head.status;
         record_upstream_success(this->context, instance_of(this->current->choice));
-        this->leave_attempt();
+        this->end_attempt();
         this->exchange->finish();
         this->finish("ok", status);
         return;
     }
-    this->answered_whole();
+    this->on_full_response();
 }
 
 // The upstream that was to go on with a stream answers that it failed. Its answer is whole and the
 // stream is not: it goes on at yet another one, or is broken off.
-void request_flow::failed_to_go_on() {
+void request_flow::on_resume_failed() {
     const auto upstream = instance_of(this->current->choice);
     this->context.log.line(importance::keep, "attempt_failed")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("kind", this->kind_name())
         .text("upstream", upstream.id.value)
         .text("why", "error_answer")
-        .flag("answer_begun", this->current->answering)
-        .text("last_event", this->events.last_event)
+        .flag("answer_begun", this->current->head_received)
+        .text("last_event", this->relay.last_event_id)
         .span("after_ms", this->context.now() - this->current->sent_at);
     record_upstream_error(this->context, upstream);
-    this->leave_attempt();
-    this->wanted.tried.push_back(upstream.id);
-    this->send_again_or_end("upstream_error");
+    this->end_attempt();
+    this->criteria.tried.push_back(upstream.id);
+    this->retry_or_fail("upstream_error");
 }
 
-void request_flow::answered_whole() {
-    this->count_first_byte();
+void request_flow::on_full_response() {
+    this->record_first_byte();
     const http::response_head head = std::move(this->current->head);
     const bool error = head.status >= first_error_status;
     const auto upstream = instance_of(this->current->choice);
-    const bool in_time = this->time_left() > least_time;
+    const bool in_time = this->time_left() > min_attempt_time;
     if (error && in_time) {
         record_upstream_error(this->context, upstream);
     } else if (!error) {
         record_upstream_success(this->context, upstream);
     }
     if (error && this->request.route->kind == routes::request_kind::idempotent &&
-        this->may_send_again() && this->take_retry()) {
-        this->leave_attempt();
-        this->wanted.tried.push_back(upstream.id);
-        this->error_answer = whole_answer{head, std::exchange(this->whole_body, {})};
+        this->may_retry() && this->consume_retry()) {
+        this->end_attempt();
+        this->criteria.tried.push_back(upstream.id);
+        this->upstream_error = full_response{head, std::exchange(this->body_buffer, {})};
         this->send_attempt();
         return;
     }
-    this->leave_attempt();
-    this->exchange->answer(head.status, caller_fields(head), this->whole_body);
+    this->end_attempt();
+    this->exchange->respond(head.status, client_fields(head), this->body_buffer);
     this->finish(error ? "upstream_error" : "ok", head.status);
 }
 
 // The upstream states that it has not run the request, so it may go to another one, whatever its
 // kind: a refusal counts as no run.
-void request_flow::refused_by_upstream() {
+void request_flow::on_upstream_refusal() {
     const upstream_choice choice = this->current->choice;
-    auto* one = this->member_of_attempt();
-    const auto load = this->current->facts.load;
+    auto* member = this->current_member();
+    const auto load = this->current->metadata.load;
     const bool has_room = load && load->waiting == 0 && load->running < load->slots;
     const bool outdated =
-        this->wanted.prompt != nullptr &&
-        choice.weights < newest(history_of(this->context.state, this->facts.model));
-    if (one != nullptr) {
-        const bool changing = outdated || this->current->facts.wrong_instance;
-        one->busy_until = std::max(one->busy_until,
-                                   this->context.now() + (changing ? loading_pause : full_pause));
+        this->criteria.prompt != nullptr &&
+        choice.weights < newest(history_of(this->context.state, this->metadata.model));
+    if (member != nullptr) {
+        const bool changing = outdated || this->current->metadata.wrong_instance;
+        member->busy_until = std::max(
+            member->busy_until, this->context.now() + (changing ? loading_pause : overload_pause));
     }
-    if (has_room && !outdated && !this->current->facts.pause) {
+    if (has_room && !outdated && !this->current->metadata.pause) {
         record_upstream_failure(this->context, instance_of(choice), "refuses_with_room");
     }
     this->context.log.line(importance::keep, "refused_by_upstream")
-        .text("request", this->facts.request_id)
+        .text("request", this->metadata.request_id)
         .text("upstream", choice.id.value)
         .number("status", this->current->head.status)
         .number("weights_expected", choice.weights)
-        .number("weights_there", this->current->facts.weights_version.value_or(0))
+        .number("weights_there", this->current->metadata.weights_version.value_or(0))
         .number("running", load ? load->running : -1)
         .number("waiting", load ? load->waiting : -1);
-    this->wanted.tried.push_back(choice.id);
-    this->leave_attempt();
-    this->whole_body.clear();
-    if (this->has_tries_left() && this->take_retry()) {
+    this->criteria.tried.push_back(choice.id);
+    this->end_attempt();
+    this->body_buffer.clear();
+    if (this->has_retries_left() && this->consume_retry()) {
         this->send_attempt();
         return;
     }
-    this->give_up("refused_by_upstream", base::code::overloaded, base::code::upstream_failed,
-                  std::nullopt);
+    this->fail_request("refused_by_upstream", base::code::overloaded, base::code::upstream_failed,
+                       std::nullopt);
 }
 
-void request_flow::caller_caught_up() {
-    if (this->paused && this->current) {
-        this->paused = false;
+void request_flow::on_client_drained() {
+    if (this->reading_paused && this->current) {
+        this->reading_paused = false;
         this->current->connection->resume_reading();
     }
 }
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -2,14 +2,14 @@
 
 namespace camphorrail::proxy {
 
-shutdown_step next_step(shutdown_state& state, const shutdown_view& view,
-                        const shutdown_rules& rules) {
-    if (!state.begun_at || view.now - *state.begun_at < rules.balancer_notices) {
+shutdown_step advance_shutdown(shutdown_state& state, const shutdown_view& view,
+                               const shutdown_rules& rules) {
+    if (!state.started_at || view.now - *state.started_at < rules.balancer_detection_time) {
         return shutdown_step::wait;
     }
-    if (state.taking) {
-        state.taking = false;
-        return shutdown_step::stop_taking;
+    if (state.accepting) {
+        state.accepting = false;
+        return shutdown_step::stop_accepting;
     }
     // Also after the entry has resigned: a connection that was being read may bring a last request.
     if (view.open_requests > 0 || view.unsent_bytes > 0) {
--- a/src/proxy/silence.h
+++ b/src/proxy/stall_detection.h
@@ -6,34 +6,34 @@
 namespace camphorrail::proxy {
 
 // What an entry knows when it looks whether an upstream has fallen silent on a request.
-struct silence_view {
+struct stall_view {
     base::instant now;
     // When it was to look.
-    base::instant due;
+    base::instant check_due;
     // When the upstream last sent a byte, on whatever request and to whatever entry.
-    base::instant upstream_heard;
+    base::instant last_upstream_byte;
     // When something last came of this request, or it was sent.
-    base::instant request_heard;
+    base::instant last_request_progress;
     // Part of its answer has come.
     bool streaming = false;
 };
 
-enum class silence {
+enum class stall {
     // This process was stopped for a while and finds all its timers due at once, before it has read
     // what came meanwhile. Taken for silence, that broke off every stream it had.
-    process_was_stopped,
+    process_suspended,
     // Slow perhaps, but within its time.
     none,
     // The request has waited for too long. The upstream still says something on others.
-    of_request,
+    request_stalled,
     // Nothing at all comes from the upstream.
-    of_upstream,
+    upstream_unresponsive,
 };
 
-silence judge_silence(const silence_view& view, const routes::route& route);
+stall detect_stall(const stall_view& view, const routes::route& route);
 
 // How long after something was heard to look first, and then again.
-base::micros first_look(const routes::route& route, bool streaming);
-base::micros next_look(const silence_view& view, const routes::route& route);
+base::micros first_check_delay(const routes::route& route, bool streaming);
+base::micros next_check_delay(const stall_view& view, const routes::route& route);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/stream_relay.cpp
+++ b/src/proxy/stream_relay.cpp
@@ -9,20 +9,20 @@
 std::optional<std::int64_t> to_number(std::string_view text) {
     std::int64_t number = 0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), number);
-    const bool whole = read.ec == std::errc{} && read.ptr == text.data() + text.size();
-    return whole ? std::optional(number) : std::nullopt;
+    const bool complete = read.ec == std::errc{} && read.ptr == text.data() + text.size();
+    return complete ? std::optional(number) : std::nullopt;
 }
 
 // An upstream that resumes may repeat the event it was asked to go on after.
-bool already_passed(const stream_relay& state, std::string_view id) {
-    const auto last = to_number(state.last_event);
+bool already_relayed(const stream_relay& state, std::string_view id) {
+    const auto last = to_number(state.last_event_id);
     const auto next = to_number(id);
     return last && next && *next <= *last;
 }
 
 } // namespace
 
-std::string_view id_of(std::string_view event) {
+std::string_view event_id(std::string_view event) {
     constexpr std::string_view field = "id:";
     while (!event.empty()) {
         const auto end = event.find('\n');
@@ -43,15 +43,15 @@
     return {};
 }
 
-std::string relay(stream_relay& state, const std::string& bytes) {
+std::string relay_events(stream_relay& state, const std::string& bytes) {
     std::string out;
     for (const auto& event : stream::split(state.splitter, bytes)) {
-        const auto id = id_of(event);
-        if (!id.empty() && already_passed(state, id)) {
+        const auto id = event_id(event);
+        if (!id.empty() && already_relayed(state, id)) {
             continue;
         }
         if (!id.empty()) {
-            state.last_event = id;
+            state.last_event_id = id;
         }
         out += event;
     }
--- a/src/proxy/stream_relay.h
+++ b/src/proxy/stream_relay.h
@@ -15,16 +15,16 @@
 struct stream_relay {
     stream::event_splitter splitter;
     // The id of the last event that was passed on; empty before the first.
-    std::string last_event;
+    std::string last_event_id;
 };
 
 // The bytes to pass on now.
-std::string relay(stream_relay& state, const std::string& bytes);
+std::string relay_events(stream_relay& state, const std::string& bytes);
 
 // Another upstream goes on; what the one before has left of an event is dropped.
 void resume_relay(stream_relay& state);
 
 // The value of an event's id line; empty where it has none.
-std::string_view id_of(std::string_view event);
+std::string_view event_id(std::string_view event);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/stream_relay_tests.cpp
+++ b/src/proxy/stream_relay_tests.cpp
@@ -14,24 +14,24 @@
 
 TEST_CASE("a stream is passed on event by event", "[proxy]") {
     proxy::stream_relay state;
-    CHECK(proxy::relay(state, "id: 1\nda").empty());
-    CHECK(proxy::relay(state, "ta: a\n\nid: 2\n") == event(1, "a"));
-    CHECK(state.last_event == "1");
-    CHECK(proxy::relay(state, "data: b\n\n") == event(2, "b"));
+    CHECK(proxy::relay_events(state, "id: 1\nda").empty());
+    CHECK(proxy::relay_events(state, "ta: a\n\nid: 2\n") == event(1, "a"));
+    CHECK(state.last_event_id == "1");
+    CHECK(proxy::relay_events(state, "data: b\n\n") == event(2, "b"));
 }
 
 // An engine crashes in the middle of an event. The caller must see neither the cut event nor any
 // event twice, and the stream of the engine that goes on must follow without a gap.
 TEST_CASE("a stream goes on at another engine without a seam", "[proxy]") {
     proxy::stream_relay state;
-    std::string seen = proxy::relay(state, event(1, "a") + event(2, "b") + "id: 3\ndata: c");
-    CHECK(state.last_event == "2");
+    std::string seen = proxy::relay_events(state, event(1, "a") + event(2, "b") + "id: 3\ndata: c");
+    CHECK(state.last_event_id == "2");
     proxy::resume_relay(state);
-    seen += proxy::relay(state, event(2, "b") + event(3, "c") + event(4, "d"));
+    seen += proxy::relay_events(state, event(2, "b") + event(3, "c") + event(4, "d"));
     CHECK(seen == event(1, "a") + event(2, "b") + event(3, "c") + event(4, "d"));
 }
 
 TEST_CASE("an event's id is found among its lines", "[proxy]") {
-    CHECK(proxy::id_of("weight-versions: 3\nid: 17\r\ndata: id: 9\n\n") == "17");
-    CHECK(proxy::id_of("data: x\n\n").empty());
+    CHECK(proxy::event_id("weight-versions: 3\nid: 17\r\ndata: id: 9\n\n") == "17");
+    CHECK(proxy::event_id("data: x\n\n").empty());
 }
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -10,46 +10,47 @@
 namespace {
 
 // From here on an answer made on outdated weights is worth less to its caller.
-constexpr base::milliseconds outdated_free{1300};
+constexpr base::milliseconds outdated_grace{1300};
 // A request may wait at an overloaded engine for as long as its caller does, two seconds. One that
 // would begin on weights that are outdated for too long by then is not sent there.
-constexpr base::milliseconds wait_when_full{1100};
-constexpr double full_share = 0.5;
+constexpr base::milliseconds max_overload_wait{1100};
+constexpr double high_load_share = 0.5;
 
 // A call that is cancelled reaches the upstream a hop later, and the timer for it waits for the
 // loop's turn to end.
-constexpr base::milliseconds begin_margin{400};
+constexpr base::milliseconds cancel_margin{400};
 
 std::vector<const fleet::member*> pool_members(const fleet::fleet& state,
                                                const base::pool_id& pool) {
     std::vector<const fleet::member*> found;
-    for (const auto& [id, one] : state.members) {
-        if (one.listed.pool == pool) {
-            found.push_back(&one);
+    for (const auto& [id, member] : state.members) {
+        if (member.listed.pool == pool) {
+            found.push_back(&member);
         }
     }
     return found;
 }
 
-const latency::first_byte_model& model_of(const entry_state& state, const base::pool_id& pool) {
-    static const latency::first_byte_model unseen;
+const latency::first_byte_model& latency_model_of(const entry_state& state,
+                                                  const base::pool_id& pool) {
+    static const latency::first_byte_model untrained;
     const auto found = state.latency.find(pool);
-    return found == state.latency.end() ? unseen : found->second;
+    return found == state.latency.end() ? untrained : found->second;
 }
 
 // What a placement takes of the stores' links: a fetch of the shared part, where the engine lacks
 // it, and a save of all.
 std::vector<std::pair<std::string, double>> store_transfers(const routes::operators_config& config,
                                                             const routes::pool& pool,
-                                                            const kvcache::placement& made,
+                                                            const kvcache::placement& placement,
                                                             const kvcache::prompt_chain& chain) {
     std::vector<std::pair<std::string, double>> found;
     for (const auto& store : config.kv_stores) {
         double tokens = 0.0;
-        if (made.fetch_from == store.address && made.fetch_ms > 0.0) {
-            tokens += static_cast<double>(chain.all_tokens() - made.to_read);
+        if (placement.fetch_from == store.address && placement.fetch_ms > 0.0) {
+            tokens += static_cast<double>(chain.all_tokens() - placement.to_read);
         }
-        if (made.save_to == store.address) {
+        if (placement.save_to == store.address) {
             tokens += static_cast<double>(chain.all_tokens());
         }
         if (tokens > 0.0) {
@@ -60,20 +61,20 @@
 }
 
 // Whether the prompts under way fill so much of an engine's memory that new ones may have to wait.
-bool may_wait_long(const entry_context& context, const fleet::member& one) {
+bool may_wait_long(const entry_context& context, const fleet::member& member) {
     const auto& pools = context.state.config->pools;
-    const auto pool = pools.find(one.listed.pool);
+    const auto pool = pools.find(member.listed.pool);
     const std::int64_t room = pool == pools.end() ? 0 : pool->second.engine_tokens;
-    const auto work = fleet::total_work(one, context.now());
-    return static_cast<double>(work.held_tokens) > full_share * static_cast<double>(room);
+    const auto work = fleet::total_work(member, context.now());
+    return static_cast<double>(work.held_tokens) > high_load_share * static_cast<double>(room);
 }
 
 // Since when weights can have been outdated: since newer ones were named, or else since the last
 // proof that none were. An entry that has lost the store, or stood still, does not know of newer
 // ones, and goes on with the requests that it has.
-std::optional<base::instant> perhaps_outdated_since(const entry_context& context,
-                                                    const base::model_id& model,
-                                                    std::int64_t weights) {
+std::optional<base::instant> possibly_outdated_since(const entry_context& context,
+                                                     const base::model_id& model,
+                                                     std::int64_t weights) {
     const auto since = outdated_since(history_of(context.state, model), weights);
     return since > context.now() ? context.state.store.proved_at : std::optional(since);
 }
@@ -89,24 +90,25 @@
     const auto& history = history_of(context.state, model);
     const auto longest = max_outdated_weights_age(context.settings);
     std::vector<kvcache::candidate> found;
-    for (auto* one : all) {
-        const std::int64_t version = fleet::weights_version_of(*one, model);
-        const auto since = perhaps_outdated_since(context, model, version);
-        const auto allowed = may_wait_long(context, *one) ? longest - wait_when_full : longest;
+    for (auto* member : all) {
+        const std::int64_t version = fleet::weights_version_of(*member, model);
+        const auto since = possibly_outdated_since(context, model, version);
+        const auto allowed =
+            may_wait_long(context, *member) ? longest - max_overload_wait : longest;
         if (version > 0 && since && now - *since < allowed) {
-            const bool outdated = outdated_since(history, version) <= now - outdated_free;
-            found.push_back({one, version, outdated});
+            const bool outdated = outdated_since(history, version) <= now - outdated_grace;
+            found.push_back({member, version, outdated});
         }
     }
     return found;
 }
 
-const fleet::member& engine_of(const kvcache::candidate& one) {
-    return *one.engine;
+const fleet::member& engine_of(const kvcache::candidate& candidate) {
+    return *candidate.engine;
 }
 
-const fleet::member& engine_of(const fleet::member* one) {
-    return *one;
+const fleet::member& engine_of(const fleet::member* member) {
+    return *member;
 }
 
 // What a crash of an engine would cost: another suspect is being tried there, so that it would not
@@ -135,78 +137,79 @@
     const auto trials = quarantine::trials_at(context.state.quarantine, now);
     std::vector<std::pair<crash_cost, Candidate>> ranked;
     ranked.reserve(among.size());
-    for (const auto& each : among) {
-        ranked.emplace_back(cost_of_crash(engine_of(each), trials, now), each);
+    for (const auto& candidate : among) {
+        ranked.emplace_back(cost_of_crash(engine_of(candidate), trials, now), candidate);
     }
     std::stable_sort(ranked.begin(), ranked.end(),
                      [](const auto& left, const auto& right) { return left.first < right.first; });
     ranked.erase(ranked.begin() + static_cast<std::ptrdiff_t>((ranked.size() + 2) / 3),
                  ranked.end());
     among.clear();
-    for (const auto& [cost, each] : ranked) {
-        among.push_back(each);
+    for (const auto& [cost, candidate] : ranked) {
+        among.push_back(candidate);
     }
 }
 
 // An answer that goes on once may not do so again, so it keeps off the engines that are to change
 // weights next.
 void prefer_newest(std::vector<kvcache::candidate>& candidates) {
-    const bool any_new = std::any_of(candidates.begin(), candidates.end(),
-                                     [](const auto& each) { return !each.outdated; });
-    if (any_new) {
-        std::erase_if(candidates, [](const auto& each) { return each.outdated; });
+    const bool any_current = std::any_of(candidates.begin(), candidates.end(),
+                                         [](const auto& candidate) { return !candidate.outdated; });
+    if (any_current) {
+        std::erase_if(candidates, [](const auto& candidate) { return candidate.outdated; });
     }
 }
 
 std::optional<upstream_choice> choose_for_prompt(const entry_context& context,
-                                                 const choice_request& request,
+                                                 const selection_criteria& criteria,
                                                  const std::vector<fleet::member*>& all) {
-    auto candidates = prompt_candidates(context, all, request.prompt->model);
-    if (request.resumed) {
+    auto candidates = prompt_candidates(context, all, criteria.prompt->model);
+    if (criteria.resumed) {
         prefer_newest(candidates);
     }
-    if (request.suspect) {
+    if (criteria.suspect) {
         keep_safest(context, candidates);
     }
     const auto& config = *context.state.config;
-    const auto pool = config.pools.find(request.pool);
+    const auto pool = config.pools.find(criteria.pool);
     if (candidates.empty() || pool == config.pools.end()) {
         return std::nullopt;
     }
     const base::instant now = context.now();
     const auto rules = fleet_rules_of(context.settings);
-    const kvcache::prompt_space space{request.prompt->model, request.isolated_team};
-    auto chain = kvcache::make_chain(space, request.prompt->prompt_parts);
-    const auto members = pool_members(context.state.fleet, request.pool);
-    auto made = kvcache::place(candidates, {space, chain, pool->second, members, request.target},
-                               {context.state.cache,
-                                context.state.stored_prompts,
-                                config.kv_stores,
-                                now,
-                                rules,
-                                model_of(context.state, request.pool),
-                                {}});
-    const auto& target = *made.target.engine;
+    const kvcache::prompt_space space{criteria.prompt->model, criteria.isolated_team};
+    auto chain = kvcache::make_chain(space, criteria.prompt->prompt_parts);
+    const auto members = pool_members(context.state.fleet, criteria.pool);
+    auto placement =
+        kvcache::place(candidates, {space, chain, pool->second, members, criteria.target},
+                       {context.state.cache,
+                        context.state.stored_prompts,
+                        config.kv_stores,
+                        now,
+                        rules,
+                        latency_model_of(context.state, criteria.pool),
+                        {}});
+    const auto& target = *placement.target.engine;
     upstream_choice choice;
     choice.id = target.listed.id;
     choice.incarnation = target.listed.incarnation;
     choice.address = target.listed.address;
-    choice.weights = made.target.weights;
-    choice.cache_salt = std::move(made.salt);
-    choice.fetch_from = std::move(made.fetch_from);
-    choice.save_to = std::move(made.save_to);
-    choice.to_read = made.to_read;
-    choice.why = made.is_home ? "home" : "least_cost";
-    choice.unread_there = made.unread_there;
-    choice.wait_ms = made.wait_ms;
-    choice.fetch_ms = made.fetch_ms;
-    choice.first_byte_ms = made.first_byte_ms;
-    choice.transfers = store_transfers(config, pool->second, made, chain);
+    choice.weights = placement.target.weights;
+    choice.cache_salt = std::move(placement.salt);
+    choice.fetch_from = std::move(placement.fetch_from);
+    choice.save_to = std::move(placement.save_to);
+    choice.prefill_tokens = placement.to_read;
+    choice.reason = placement.is_home ? "home" : "least_cost";
+    choice.queued_tokens = placement.unread_there;
+    choice.wait_ms = placement.wait_ms;
+    choice.fetch_ms = placement.fetch_ms;
+    choice.first_byte_ms = placement.first_byte_ms;
+    choice.transfers = store_transfers(config, pool->second, placement, chain);
     choice.chain = std::move(chain);
     const auto since =
-        outdated_since(history_of(context.state, request.prompt->model), choice.weights);
+        outdated_since(history_of(context.state, criteria.prompt->model), choice.weights);
     if (since <= now) {
-        choice.outdated_for = now - since;
+        choice.weights_outdated_for = now - since;
     }
     return choice;
 }
@@ -215,11 +218,11 @@
 
 std::optional<base::instant> begin_deadline(const entry_context& context,
                                             const base::model_id& model, std::int64_t weights) {
-    const auto since = perhaps_outdated_since(context, model, weights);
+    const auto since = possibly_outdated_since(context, model, weights);
     if (!since) {
         return std::nullopt;
     }
-    return *since + context.settings.bounds.outdated_weights - begin_margin;
+    return *since + context.settings.bounds.outdated_weights - cancel_margin;
 }
 
 base::upstream_instance instance_of(const upstream_choice& choice) {
@@ -227,62 +230,61 @@
 }
 
 std::optional<upstream_choice> choose_upstream(entry_context& context,
-                                               const choice_request& request) {
+                                               const selection_criteria& criteria) {
     const base::instant now = context.now();
     const auto rules = fleet_rules_of(context.settings);
-    auto all = fleet::candidates(context.state.fleet, request.pool, now, rules, request.tried);
+    auto all = fleet::candidates(context.state.fleet, criteria.pool, now, rules, criteria.tried);
     if (all.empty()) {
         return std::nullopt;
     }
-    if (request.prompt != nullptr && !request.prompt->model.empty()) {
-        return choose_for_prompt(context, request, all);
+    if (criteria.prompt != nullptr && !criteria.prompt->model.empty()) {
+        return choose_for_prompt(context, criteria, all);
     }
-    if (request.suspect) {
+    if (criteria.suspect) {
         keep_safest(context, all);
     }
-    const auto* target =
-        fleet::least_loaded(all, context.settings.zone, request.number, now, rules);
+    const auto* target = fleet::least_loaded(all, context.settings.zone, criteria.hash, now, rules);
     upstream_choice choice;
     choice.id = target->listed.id;
     choice.incarnation = target->listed.incarnation;
     choice.address = target->listed.address;
-    choice.why = "least_loaded";
+    choice.reason = "least_loaded";
     return choice;
 }
 
-pool_count count_pool(const entry_context& context, const base::pool_id& pool) {
+pool_counts count_upstreams(const entry_context& context, const base::pool_id& pool) {
     const base::instant now = context.now();
-    pool_count count;
-    for (const auto& [id, one] : context.state.fleet.members) {
-        if (one.listed.pool != pool || !fleet::is_available(one)) {
+    pool_counts count;
+    for (const auto& [id, member] : context.state.fleet.members) {
+        if (member.listed.pool != pool || !fleet::is_available(member)) {
             continue;
         }
         ++count.listed;
-        count.fit += fleet::is_eligible(one, now) ? 1 : 0;
-        count.busy += now < fleet::unavailable_until(one) ? 1 : 0;
-        count.suspected += fleet::is_suspected(one, now) ? 1 : 0;
+        count.eligible += fleet::is_eligible(member, now) ? 1 : 0;
+        count.busy += now < fleet::unavailable_until(member) ? 1 : 0;
+        count.suspected += fleet::is_suspected(member, now) ? 1 : 0;
     }
     return count;
 }
 
-base::milliseconds when_free(const entry_context& context, const base::pool_id& pool) {
-    constexpr base::milliseconds unknown{250};
+base::milliseconds estimate_retry_after(const entry_context& context, const base::pool_id& pool) {
+    constexpr base::milliseconds default_wait{250};
     // Callers come back once or twice at most; an upstream in change takes at least this long.
-    constexpr base::milliseconds soonest{150};
+    constexpr base::milliseconds min_wait{150};
     const base::instant now = context.now();
-    std::optional<base::milliseconds> wait;
-    for (const auto& [id, one] : context.state.fleet.members) {
-        if (one.listed.pool != pool || !fleet::is_available(one)) {
+    std::optional<base::milliseconds> shortest_wait;
+    for (const auto& [id, member] : context.state.fleet.members) {
+        if (member.listed.pool != pool || !fleet::is_available(member)) {
             continue;
         }
         const auto until =
-            std::max({one.busy_until, one.health.ejected_until, one.suspected_until});
+            std::max({member.busy_until, member.health.ejected_until, member.suspected_until});
         const auto left = std::chrono::duration_cast<base::milliseconds>(until - now);
-        const auto paused = std::chrono::ceil<base::milliseconds>(one.pause_until - now);
-        const auto mine = std::max(std::clamp(left, soonest, unknown), paused);
-        wait = wait ? std::min(*wait, mine) : mine;
+        const auto paused = std::chrono::ceil<base::milliseconds>(member.pause_until - now);
+        const auto member_wait = std::max(std::clamp(left, min_wait, default_wait), paused);
+        shortest_wait = shortest_wait ? std::min(*shortest_wait, member_wait) : member_wait;
     }
-    return wait.value_or(unknown);
+    return shortest_wait.value_or(default_wait);
 }
 
 } // namespace camphorrail::proxy
--- a/src/proxy/upstream_choice.h
+++ b/src/proxy/upstream_choice.h
@@ -9,12 +9,12 @@
 namespace camphorrail::proxy {
 
 // What one attempt needs to know of its request.
-struct choice_request {
+struct selection_criteria {
     base::pool_id pool;
     // Null where the route's requests name no parts of a prompt.
     const ports::client_request* prompt = nullptr;
     base::team_id isolated_team;
-    std::uint64_t number = 0;
+    std::uint64_t hash = 0;
     base::milliseconds target{0};
     // It goes on with an answer that another upstream has begun.
     bool resumed = false;
@@ -34,9 +34,9 @@
     std::string cache_salt;
     std::string fetch_from;
     std::string save_to;
-    std::int64_t to_read = 0;
+    std::int64_t prefill_tokens = 0;
     // Tokens that waited there already, over all entries.
-    std::int64_t unread_there = 0;
+    std::int64_t queued_tokens = 0;
     // How long it will probably wait there, for what it fetches, and until its first event in all,
     // in milliseconds.
     double wait_ms = 0.0;
@@ -45,9 +45,9 @@
     // What it takes of the links of stores of kept KV cache, by their addresses, in milliseconds.
     std::vector<std::pair<std::string, double>> transfers;
     // How long its weights have been outdated; nothing where no newer ones are named.
-    std::optional<base::micros> outdated_for;
+    std::optional<base::micros> weights_outdated_for;
     // What decided it, for the log.
-    const char* why = "";
+    const char* reason = "";
 };
 
 base::upstream_instance instance_of(const upstream_choice& choice);
@@ -60,20 +60,20 @@
 
 // The upstream for an attempt; nothing where none can take it now.
 std::optional<upstream_choice> choose_upstream(entry_context& context,
-                                               const choice_request& request);
+                                               const selection_criteria& criteria);
 
 // How the upstreams of a pool stand, for the log of a refusal.
-struct pool_count {
+struct pool_counts {
     std::int64_t listed = 0;
-    std::int64_t fit = 0;
+    std::int64_t eligible = 0;
     std::int64_t busy = 0;
     std::int64_t suspected = 0;
 };
 
-pool_count count_pool(const entry_context& context, const base::pool_id& pool);
+pool_counts count_upstreams(const entry_context& context, const base::pool_id& pool);
 
 // When an upstream of the pool may be free again, counted from now; a short default where that is
 // not known.
-base::milliseconds when_free(const entry_context& context, const base::pool_id& pool);
+base::milliseconds estimate_retry_after(const entry_context& context, const base::pool_id& pool);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -18,8 +18,9 @@
 constexpr base::milliseconds connect_timeout{250};
 // A standing connection can fall silent for good while new ones work. Both spans are well below the
 // seconds that callers wait, and far above any round trip.
-constexpr adapters::silence_limits upstream_silence{base::milliseconds(1500), base::seconds(1), 2};
-constexpr http::read_limits answer_limits{64U << 10U, 64U << 20U};
+constexpr adapters::silence_limits upstream_keepalive{base::milliseconds(1500), base::seconds(1),
+                                                      2};
+constexpr http::read_limits response_limits{64U << 10U, 64U << 20U};
 
 std::string_view contents(evbuffer* input) {
     const auto length = evbuffer_get_length(input);
@@ -29,23 +30,23 @@
 } // namespace
 
 upstream_connection::upstream_connection(event_base* base, std::string address)
-    : base(base), address(std::move(address)), reader(answer_limits) {}
+    : base(base), address(std::move(address)), reader(response_limits) {}
 
 upstream_connection::~upstream_connection() {
     this->release();
 }
 
-void upstream_connection::call(std::string bytes, call_events handlers) {
-    this->events = std::move(handlers);
-    this->reader = http::response_reader(answer_limits);
-    this->waiting = std::move(bytes);
+void upstream_connection::call(std::string bytes, call_handlers handlers) {
+    this->handlers = std::move(handlers);
+    this->reader = http::response_reader(response_limits);
+    this->pending_request = std::move(bytes);
     this->busy = true;
     this->sent = false;
-    this->head_told = false;
-    this->dropping = false;
-    this->usable_again = false;
-    if (this->stands) {
-        this->connected();
+    this->head_delivered = false;
+    this->dropping_response = false;
+    this->is_reusable = false;
+    if (this->is_connected) {
+        this->on_connected();
     } else {
         this->connect();
     }
@@ -53,54 +54,54 @@
 
 void upstream_connection::connect() {
     this->socket = adapters::start_connecting(this->base, this->address);
-    this->connect_limit = std::make_unique<adapters::timer>(this->base, [this] {
+    this->connect_timer = std::make_unique<adapters::timer>(this->base, [this] {
         const auto self = this->shared_from_this();
         this->fail(call_failure::never_sent);
     });
     if (this->socket == nullptr) {
-        this->connect_limit->set(base::micros(0));
+        this->connect_timer->set(base::micros(0));
         return;
     }
     bufferevent_setcb(this->socket, on_read, nullptr, on_event, this);
     bufferevent_enable(this->socket, EV_READ | EV_WRITE);
-    this->connect_limit->set(connect_timeout);
+    this->connect_timer->set(connect_timeout);
 }
 
-void upstream_connection::connected() {
-    this->stands = true;
-    this->connect_limit.reset();
+void upstream_connection::on_connected() {
+    this->is_connected = true;
+    this->connect_timer.reset();
     this->sent = true;
-    bufferevent_write(this->socket, this->waiting.data(), this->waiting.size());
-    this->waiting.clear();
-    this->waiting.shrink_to_fit();
+    bufferevent_write(this->socket, this->pending_request.data(), this->pending_request.size());
+    this->pending_request.clear();
+    this->pending_request.shrink_to_fit();
 }
 
 void upstream_connection::on_read(bufferevent* /*socket*/, void* raw) {
     const auto self = static_cast<upstream_connection*>(raw)->shared_from_this();
-    self->read_answer();
+    self->read_response();
 }
 
 void upstream_connection::on_event(bufferevent* socket, short what, void* raw) {
     const auto self = static_cast<upstream_connection*>(raw)->shared_from_this();
     if ((what & BEV_EVENT_CONNECTED) != 0) {
-        adapters::watch_for_silence(bufferevent_getfd(socket), upstream_silence);
-        if (self->events.still_wanted && !self->events.still_wanted()) {
-            self->fail(call_failure::taken_back);
+        adapters::watch_for_silence(bufferevent_getfd(socket), upstream_keepalive);
+        if (self->handlers.still_wanted && !self->handlers.still_wanted()) {
+            self->fail(call_failure::withdrawn);
             return;
         }
-        self->connected();
+        self->on_connected();
         return;
     }
-    self->connection_ended((what & BEV_EVENT_EOF) != 0);
+    self->on_connection_closed((what & BEV_EVENT_EOF) != 0);
 }
 
-void upstream_connection::read_answer() {
+void upstream_connection::read_response() {
     evbuffer* input = bufferevent_get_input(this->socket);
     if (!this->busy) {
         // Bytes that nobody asked for: the next call would take them for its answer.
         this->release();
-        if (this->on_idle_end) {
-            this->on_idle_end();
+        if (this->on_idle_closed) {
+            this->on_idle_closed();
         }
         return;
     }
@@ -114,17 +115,17 @@
     }
 }
 
-void upstream_connection::connection_ended(bool orderly) {
+void upstream_connection::on_connection_closed(bool orderly) {
     if (!this->busy) {
         this->release();
-        if (this->on_idle_end) {
-            this->on_idle_end();
+        if (this->on_idle_closed) {
+            this->on_idle_closed();
         }
         return;
     }
-    if (orderly && this->head_told) {
+    if (orderly && this->head_delivered) {
         this->reader.feed_end();
-        this->usable_again = false;
+        this->is_reusable = false;
         this->release();
         this->deliver();
     }
@@ -138,19 +139,19 @@
         this->fail(call_failure::malformed);
         return;
     }
-    if (this->reader.has_head() && !this->head_told) {
-        this->head_told = true;
+    if (this->reader.has_head() && !this->head_delivered) {
+        this->head_delivered = true;
         // Copied, since the handler may cancel the call and so drop the handlers.
-        const auto started = this->events.started;
-        this->dropping = !started(this->reader.head());
+        const auto on_head = this->handlers.on_head;
+        this->dropping_response = !on_head(this->reader.head());
     }
-    if (!this->busy || !this->head_told) {
+    if (!this->busy || !this->head_delivered) {
         return;
     }
     std::string bytes = this->reader.take_body();
-    if (!bytes.empty() && !this->dropping) {
-        const auto received = this->events.received;
-        received(std::move(bytes));
+    if (!bytes.empty() && !this->dropping_response) {
+        const auto on_body = this->handlers.on_body;
+        on_body(std::move(bytes));
     }
     if (this->busy && this->reader.complete()) {
         this->complete();
@@ -158,45 +159,45 @@
 }
 
 void upstream_connection::complete() {
-    if (this->dropping) {
-        this->reader = http::response_reader(answer_limits);
-        this->head_told = false;
-        this->dropping = false;
+    if (this->dropping_response) {
+        this->reader = http::response_reader(response_limits);
+        this->head_delivered = false;
+        this->dropping_response = false;
         return;
     }
     this->busy = false;
     // An upstream may answer before it has read the whole call; what it then reads as the next call
     // would be the rest of this one.
-    const bool whole_sent =
+    const bool all_sent =
         this->socket != nullptr && evbuffer_get_length(bufferevent_get_output(this->socket)) == 0;
-    const bool nothing_more =
+    const bool no_extra_input =
         this->socket != nullptr && evbuffer_get_length(bufferevent_get_input(this->socket)) == 0;
-    this->usable_again = whole_sent && nothing_more && this->reader.head().keep_alive &&
-                         !this->reader.head().ends_with_close;
-    if (!this->usable_again) {
+    this->is_reusable = all_sent && no_extra_input && this->reader.head().keep_alive &&
+                        !this->reader.head().ends_with_close;
+    if (!this->is_reusable) {
         this->release();
     }
-    const auto ended = std::move(this->events.ended);
-    this->events = {};
-    ended();
+    const auto on_end = std::move(this->handlers.on_end);
+    this->handlers = {};
+    on_end();
 }
 
-void upstream_connection::fail(call_failure why) {
+void upstream_connection::fail(call_failure reason) {
     this->busy = false;
-    this->usable_again = false;
+    this->is_reusable = false;
     this->release();
-    const auto failed = std::move(this->events.failed);
-    this->events = {};
-    if (failed) {
-        failed(why);
+    const auto on_failure = std::move(this->handlers.on_failure);
+    this->handlers = {};
+    if (on_failure) {
+        on_failure(reason);
     }
 }
 
 void upstream_connection::cancel() {
     this->busy = false;
-    this->usable_again = false;
-    this->events = {};
-    this->on_idle_end = {};
+    this->is_reusable = false;
+    this->handlers = {};
+    this->on_idle_closed = {};
     this->release();
 }
 
@@ -213,8 +214,8 @@
 }
 
 void upstream_connection::release() {
-    this->connect_limit.reset();
-    this->stands = false;
+    this->connect_timer.reset();
+    this->is_connected = false;
     if (this->socket != nullptr) {
         bufferevent_free(std::exchange(this->socket, nullptr));
     }
--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool says_its_start(const ports::listed_upstream& one) {
+bool has_incarnation(const ports::listed_upstream& one) {
     return one.incarnation != base::upstream_incarnation{};
 }
 
@@ -17,24 +17,24 @@
 };
 
 // Leaves out the entries that no upstream has written.
-void leave_out_foreign(std::vector<list_entry>& entries, upstream_list& list) {
-    const auto saying = static_cast<std::size_t>(
+void remove_foreign_entries(std::vector<list_entry>& entries, upstream_list& list) {
+    const auto with_incarnation = static_cast<std::size_t>(
         std::count_if(entries.begin(), entries.end(),
-                      [](const auto& each) { return says_its_start(each.upstream); }));
-    if (2 * saying <= entries.size()) {
+                      [](const auto& each) { return has_incarnation(each.upstream); }));
+    if (2 * with_incarnation <= entries.size()) {
         return;
     }
     for (const auto& each : entries) {
-        if (!says_its_start(each.upstream)) {
+        if (!has_incarnation(each.upstream)) {
             list.unreadable[each.upstream.id] = each.revision;
         }
     }
-    std::erase_if(entries, [](const auto& each) { return !says_its_start(each.upstream); });
+    std::erase_if(entries, [](const auto& each) { return !has_incarnation(each.upstream); });
 }
 
 // A process that has ended writes nothing any more, so the entry that was written last is the one
 // that has the address now.
-void leave_out_replaced(std::vector<list_entry>& entries, upstream_list& list) {
+void remove_replaced_entries(std::vector<list_entry>& entries, upstream_list& list) {
     std::map<std::string, const list_entry*> holders;
     for (const auto& each : entries) {
         auto& holder = holders[each.upstream.address];
@@ -53,19 +53,19 @@
 } // namespace
 
 upstream_list read_upstream_list(const mirror::store_mirror& store,
-                                 const ports::platform_codec& words) {
+                                 const ports::platform_codec& codec) {
     upstream_list list;
     std::vector<list_entry> entries;
-    for (const auto& item : mirror::items_below(store, words.upstreams_prefix)) {
-        auto read = words.parse_upstream(item.key, item.value);
+    for (const auto& item : mirror::items_below(store, codec.upstreams_prefix)) {
+        auto read = codec.parse_upstream(item.key, item.value);
         if (read.has_value()) {
             entries.push_back({std::move(read.value()), item.mod_revision});
         } else {
-            list.unreadable[{item.key.substr(words.upstreams_prefix.size())}] = item.mod_revision;
+            list.unreadable[{item.key.substr(codec.upstreams_prefix.size())}] = item.mod_revision;
         }
     }
-    leave_out_foreign(entries, list);
-    leave_out_replaced(entries, list);
+    remove_foreign_entries(entries, list);
+    remove_replaced_entries(entries, list);
     for (auto& each : entries) {
         list.upstreams.push_back(std::move(each.upstream));
     }
--- a/src/proxy/upstream_list.h
+++ b/src/proxy/upstream_list.h
@@ -23,6 +23,6 @@
 // Reads the list from what is known of the store. Where most upstreams say when they started, an
 // entry that does not is held to be another writer's.
 upstream_list read_upstream_list(const mirror::store_mirror& store,
-                                 const ports::platform_codec& words);
+                                 const ports::platform_codec& codec);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/upstream_list_tests.cpp
+++ b/src/proxy/upstream_list_tests.cpp
@@ -16,13 +16,13 @@
 }
 
 struct listed_store {
-    ports::platform_codec words = platform::make_dialect();
+    ports::platform_codec codec = platform::make_dialect();
     mirror::store_mirror store;
     std::int64_t revision = 0;
 
     // Each engine has an address of its own, but for those that the test gives one.
     void put(const std::string& id, std::string value) {
-        const std::string key = this->words.upstreams_prefix + id;
+        const std::string key = this->codec.upstreams_prefix + id;
         if (const auto at = value.find("NAME"); at != std::string::npos) {
             value.replace(at, 4,
                           "10.0.0." + id.substr(id.size() - std::min<std::size_t>(1, id.size())) +
@@ -30,7 +30,7 @@
         }
         this->store.items[key] = {key, value, ++this->revision};
     }
-    proxy::upstream_list read() { return proxy::read_upstream_list(this->store, this->words); }
+    proxy::upstream_list read() { return proxy::read_upstream_list(this->store, this->codec); }
 };
 
 } // namespace
@@ -93,8 +93,8 @@
     SECTION("and gets nothing, also where no other is left") {
         fleet::fleet state;
         const base::instant now{base::seconds(100)};
-        listed.store.items.erase(listed.words.upstreams_prefix + "i-2");
-        listed.store.items.erase(listed.words.upstreams_prefix + "i-9");
+        listed.store.items.erase(listed.codec.upstreams_prefix + "i-2");
+        listed.store.items.erase(listed.codec.upstreams_prefix + "i-9");
         fleet::apply_list(state, listed.read().upstreams, now);
         listed.put("i-9", entry("19", "10.0.0.1:8080"));
         const auto after = listed.read();
--- a/src/proxy/upstream_words_tests.cpp
+++ b/src/proxy/upstream_signals_tests.cpp
@@ -18,16 +18,16 @@
     return {{step::kind::send, tests::answer(got.field("Request-Id"), "done")}};
 }
 
-engine_script say(const engine_request& got, int status, const std::string& more_fields) {
+engine_script reply(const engine_request& got, int status, const std::string& more_fields) {
     return {{step::kind::send, tests::answer(got.field("Request-Id"), "", status, more_fields)}};
 }
 
-engine_script leave(const engine_request& got) {
-    return say(got, 200, "Server-Leaving: 1\r\n");
+engine_script reply_leaving(const engine_request& got) {
+    return reply(got, 200, "Server-Leaving: 1\r\n");
 }
 
-engine_script ask_for_pause(const engine_request& got) {
-    return say(got, 503, "Not-Executed: 1\r\nRetry-After: 4\r\n");
+engine_script reply_with_pause(const engine_request& got) {
+    return reply(got, 503, "Not-Executed: 1\r\nRetry-After: 4\r\n");
 }
 
 // Sends a request every 100 ms of the entry's clock, or slower where the machine is slow, until the
@@ -70,23 +70,23 @@
     const auto answer =
         GENERATE(as<std::string>{}, "a success", "a refusal", "an error", "the head of a stream");
     CAPTURE(answer);
-    const auto said = [&answer](const engine_request& got) -> engine_script {
+    const auto script = [&answer](const engine_request& got) -> engine_script {
         const std::string id = got.field("Request-Id");
         if (answer == "a refusal") {
-            return say(got, 503, "Not-Executed: 1\r\nServer-Leaving: 1\r\n");
+            return reply(got, 503, "Not-Executed: 1\r\nServer-Leaving: 1\r\n");
         }
         if (answer == "an error") {
-            return say(got, 500, "Server-Leaving: 1\r\n");
+            return reply(got, 500, "Server-Leaving: 1\r\n");
         }
         if (answer == "the head of a stream") {
             std::string head = tests::stream_head(id);
             head.insert(head.size() - 2, "Server-Leaving: 1\r\n");
             return {{step::kind::send, head}, {step::kind::hang, {}}};
         }
-        return leave(got);
+        return reply_leaving(got);
     };
     const std::string route = answer == "the head of a stream" ? "stream" : "safe";
-    leaving.set_answer(said);
+    leaving.set_answer(script);
     for (int each = 0; each < 50 && leaving.requests.empty(); ++each) {
         int turns_after = 0;
         world.call_until(tests::request(route, "first-" + std::to_string(each), "body"), [&] {
@@ -140,7 +140,7 @@
           "[proxy][words]") {
     tests::proxy_world world;
     auto& engine = world.add_engine(
-        "i-1", [](const engine_request& got) { return say(got, 421, "Server-Leaving: 1\r\n"); });
+        "i-1", [](const engine_request& got) { return reply(got, 421, "Server-Leaving: 1\r\n"); });
     world.call(tests::request("safe", "r1", "body"));
     REQUIRE(engine.requests.size() == 1);
     CHECK_FALSE(world.state.fleet.members.at({"i-1"}).drain_reported_at);
@@ -151,8 +151,8 @@
 TEST_CASE("requests to a pool of which all say that they leave are refused at once",
           "[proxy][words]") {
     tests::proxy_world world;
-    auto& first = world.add_engine("i-1", leave);
-    auto& second = world.add_engine("i-2", leave);
+    auto& first = world.add_engine("i-1", reply_leaving);
+    auto& second = world.add_engine("i-2", reply_leaving);
     call_for(world, drain + milliseconds(200), "meanwhile");
     const auto before = first.requests.size() + second.requests.size();
     const auto statuses = call_for(world, milliseconds(2000), "late");
@@ -164,7 +164,7 @@
 // over.
 TEST_CASE("an upstream that asks for a pause gets it", "[proxy][words]") {
     tests::proxy_world world;
-    auto& asking = world.add_engine("i-1", ask_for_pause);
+    auto& asking = world.add_engine("i-1", reply_with_pause);
 
     SECTION("while others serve") {
         world.add_engine("i-2", echo);
--- a/tests/proxy_world.cpp
+++ b/tests/proxy_world.cpp
@@ -222,12 +222,12 @@
                   };
                   flow->begin();
               },
-              [] { return proxy::caller_bounds{}; }, this->context.now, [](int) {}}) {
+              [] { return proxy::client_limits{}; }, this->context.now, [](int) {}}) {
     this->crashes.tell = [this](const peering::message& message) { this->told.push_back(message); };
     this->crashes.held_back = [this](const quarantine::hold& held, bool) {
         const auto under_way = this->flows;
         for (const auto& flow : under_way) {
-            flow->call_off(held);
+            flow->cancel_if_quarantined(held);
         }
     };
     this->settings.peer_listen = own_address(18994);
--- a/tests/proxy_world.h
+++ b/tests/proxy_world.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "platform/dialect.h"
-#include "proxy/caller_server.h"
 #include "proxy/crash_watch.h"
+#include "proxy/frontend_server.h"
 #include "proxy/request_flow.h"
 
 #include <functional>
@@ -106,7 +106,7 @@
     // The entry is about to end: it takes no more requests.
     void stop_server() { this->server.stop(); }
     // The server of callers, and the connections to engines.
-    proxy::caller_server& callers_port() { return this->server; }
+    proxy::frontend_server& callers_port() { return this->server; }
     proxy::connection_pool& engine_connections() { return this->connections; }
     // What the caller that came as the given one has got so far; the first is 0.
     [[nodiscard]] const caller_view& seen_by(std::size_t caller) const;
@@ -147,7 +147,7 @@
     proxy::connection_pool connections;
     proxy::entry_context context;
     proxy::crash_watch crashes;
-    proxy::caller_server server;
+    proxy::frontend_server server;
     std::unordered_set<std::shared_ptr<proxy::request_flow>> flows;
     std::vector<std::unique_ptr<scripted_engine>> engines;
     std::vector<std::shared_ptr<caller>> callers;
