--- a/src/proxy/admission.h
+++ b/src/proxy/admission.h
@@ -10,36 +10,38 @@
 
 namespace camphorrail::proxy {
 
-// What an entry knows when a request arrives.
+// The entry's state that admission depends on.
 struct admission_state {
-    // The configuration in force; null before the first.
+    // The configuration in force; null before the first one is received.
     std::shared_ptr<const routes::operators_config> config;
-    // How old the proof of it is; nothing where there is none.
+    // Time since the configuration was last proved current; empty if it never was.
     std::optional<base::micros> config_age;
-    // A removed key must be refused within a bound even by a process that is cut off, so no key is
-    // honoured on a proof older than this.
+    // Requests are refused with `not_ready` if the proof is older than this. A revoked key must be
+    // refused within a bound even by a process that is cut off from the store.
     base::micros max_config_age{0};
 };
 
-// A request that may be sent on.
+// A request that may be forwarded to an upstream.
 struct admitted_request {
     std::shared_ptr<const routes::operators_config> config;
     const routes::route* route = nullptr;
-    // Null on routes that are open to all.
+    // Null on public routes and if no teams are configured.
     const routes::team* team = nullptr;
 };
 
-// Finds the request's route and team, or the code to refuse it with.
+// Finds the request's route and team, or returns the code to refuse it with.
 base::result<admitted_request> admit(const admission_state& state, const http::request_head& head,
                                      const ports::client_request& metadata);
 
-// Whether an attempt may be made again at another upstream after one that may have run.
+// Whether a request may be retried at another upstream after an attempt that may have been
+// executed.
 bool may_repeat(const routes::route& route);
 
-// The least urgent rank that upstreams know.
+// The lowest priority that upstreams accept.
 inline constexpr int lowest_rank = 9;
 
-// The rank of a request, from 0 (first) to 9: its team's where that has one, else its route's.
+// The priority of a request, from 0 (most urgent) to 9: the team's if it has one, otherwise the
+// route's.
 int priority_rank(const admitted_request& request);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/admission_tests.cpp
+++ b/src/proxy/admission_tests.cpp
@@ -41,7 +41,7 @@
     CHECK(code("/o/x", "") == 0);
     CHECK(code("/none/", "k1") == 203);
 
-    SECTION("at its team's rank, or else at its route's") {
+    SECTION("at its team's priority, or else at its route's") {
         const auto rank = [&](const std::string& key) {
             return proxy::priority_rank(
                 proxy::admit(state, request("/tag/x"), {.request_id = "1", .bearer_key = key})
@@ -52,15 +52,15 @@
     }
 }
 
-// A key is taken away while an entry is cut off from the store, or frozen. It can't know, and would
-// go on honouring the key. So it serves nobody on a proof that is older than the bound: the caller
-// is told that nothing has run, and reaches another entry.
-TEST_CASE("nothing is served on a configuration that was not proved lately", "[proxy]") {
+// An entry that is cut off from the store, or frozen, does not learn that a key was revoked and
+// would go on accepting it. With a proof older than the bound it must refuse all requests as not
+// executed, so that clients try another entry.
+TEST_CASE("no request is served on a configuration whose proof is too old", "[proxy]") {
     proxy::admission_state state{sample_config(), base::milliseconds(4601),
                                  base::milliseconds(4600)};
     const ports::client_request metadata{.request_id = "1", .bearer_key = "k1"};
     CHECK(proxy::admit(state, request("/tag/x"), metadata).error() == base::code::not_ready);
-    // Not even with an answer that would be final for the caller.
+    // Not even with a code that the client would take as final.
     CHECK(proxy::admit(state, request("/none/"), metadata).error() == base::code::not_ready);
     state.config_age.reset();
     CHECK(proxy::admit(state, request("/tag/x"), metadata).error() == base::code::not_ready);
@@ -68,12 +68,12 @@
     CHECK(proxy::admit(state, request("/tag/x"), metadata).error() == base::code::not_ready);
 }
 
-TEST_CASE("only requests that may run twice are repeated", "[proxy]") {
+TEST_CASE("only requests that may be executed twice are retried", "[proxy]") {
     using routes::request_kind;
     CHECK(proxy::may_repeat({.kind = request_kind::idempotent}));
     CHECK_FALSE(proxy::may_repeat({.kind = request_kind::once}));
     CHECK_FALSE(proxy::may_repeat({.kind = request_kind::stream}));
     CHECK(proxy::may_repeat({.kind = request_kind::stream, .resumable = true}));
-    // The mark means nothing on other kinds.
+    // `resumable` has no effect on other kinds.
     CHECK_FALSE(proxy::may_repeat({.kind = request_kind::once, .resumable = true}));
 }
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -12,7 +12,8 @@
     const auto found = this->idle.find(id);
     const base::instant at = this->now();
     if (found != this->idle.end() && !found->second.empty()) {
-        // The one used last is the least likely to have been closed meanwhile.
+        // The most recently used connection is the least likely to have been closed by the
+        // upstream.
         const idle_connection newest = found->second.back();
         if (at - newest.idle_since <= max_idle_time && at < newest.expires_at) {
             found->second.pop_back();
@@ -49,7 +50,7 @@
 void connection_pool::close_oldest_idle() {
     std::vector<idle_connection>* oldest = nullptr;
     for (auto& [id, idle_connections] : this->idle) {
-        // Each upstream's are in the order in which they came back.
+        // Each upstream's connections are ordered by the time of their release.
         if (!idle_connections.empty() && (oldest == nullptr || idle_connections.front().idle_since <
                                                                    oldest->front().idle_since)) {
             oldest = &idle_connections;
--- a/src/proxy/connection_pool.h
+++ b/src/proxy/connection_pool.h
@@ -11,23 +11,24 @@
 
 namespace camphorrail::proxy {
 
-// Idle connections to upstreams, by the upstream's start: an address may be another's later.
+// Idle connections to upstreams, keyed by upstream id rather than address, since an address may
+// later belong to another upstream.
 class connection_pool {
 public:
     connection_pool(event_base* base, std::function<base::instant()> now);
 
-    // A connection to an upstream: one that stands and was used at most `longest_idle` ago, or else
-    // a new one.
+    // Returns a pooled connection that was used at most `max_idle_time` ago, or else a new one.
     connection_ptr acquire(const base::upstream_id& id, const std::string& address,
                            base::micros max_idle_time);
-    // Keeps a connection whose answer was whole, for at most `keep` from now.
+    // Returns a connection to the pool for at most `keep_time`. A connection that cannot be reused
+    // is closed.
     void release(const base::upstream_id& id, const connection_ptr& used, base::micros keep_time);
     // Closes the idle connections to an upstream that has ended or is suspected.
     void close_idle(const base::upstream_id& id);
-    // Keeps at most so many; the ones that have been idle longest are closed first.
+    // Limits the number of idle connections; those that have been idle longest are closed first.
     void limit_idle(std::size_t count) { this->max_idle_count = count; }
     [[nodiscard]] std::size_t idle_count() const;
-    // Closes what has been idle for too long.
+    // Closes the connections that have been idle for longer than they may be kept.
     void close_expired();
     [[nodiscard]] std::int64_t opened() const { return this->opened_count; }
 
--- a/src/proxy/descriptors.cpp
+++ b/src/proxy/descriptors.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t min_reserve = 256;
-// Parts of the limit: one in so many.
+// Divisors of the descriptor limit.
 constexpr std::size_t reserve_divisor = 8;
 constexpr std::size_t idle_upstreams_divisor = 8;
 constexpr base::milliseconds resume_log_delay{1000};
@@ -16,7 +16,7 @@
 
 descriptor_shares share_descriptors(std::size_t limit) {
     descriptor_shares shares;
-    // A process with few descriptors keeps half of them.
+    // A process with few descriptors reserves half of them.
     shares.reserve = std::max(limit / reserve_divisor, std::min(min_reserve, limit / 2));
     const std::size_t left = limit - shares.reserve;
     shares.idle_upstreams = left / idle_upstreams_divisor;
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -8,20 +8,21 @@
 
 namespace camphorrail::proxy {
 
-// How a process's file descriptors are shared out. A caller's request takes one for the caller and
-// at most one for an upstream, so that `callers` counts twice.
+// How a process's file descriptors are divided. A request takes one for its client and at most one
+// for an upstream, so `clients` counts twice.
 struct descriptor_shares {
-    // Connections of callers.
+    // Limit on client connections.
     std::size_t clients = 0;
-    // Connections to upstreams that are kept for the next request.
+    // Limit on idle connections that are kept open to upstreams.
     std::size_t idle_upstreams = 0;
-    // For files, the store, other entries, the balancer, operators, and orders to upstreams.
+    // For files and for connections to the store, other entries, the load balancer and operators,
+    // and for commands to upstreams.
     std::size_t reserve = 0;
 };
 
 descriptor_shares share_descriptors(std::size_t limit);
 
-// What a server of callers says of its accepting.
+// Whether the frontend server accepts connections, and how many it has.
 struct accept_status {
     bool paused = false;
     std::int64_t pauses = 0;
@@ -29,7 +30,7 @@
     std::size_t max_clients = 0;
 };
 
-// What the log says of it.
+// What has been logged about pauses in accepting.
 struct accept_log_state {
     bool pause_logged = false;
     std::int64_t pauses_seen = 0;
@@ -37,8 +38,8 @@
     base::instant last_pause{};
 };
 
-// Logs that accepting pauses, and that it goes on once it has not paused for a while: at most one
-// pair of lines in that time, however often it pauses.
+// Logs when accepting pauses, and when it has not paused for a while again: at most one pair of
+// lines in that time, however often it pauses.
 void log_accept_pauses(accept_log_state& log_state, const accept_status& status, base::instant now,
                        adapters::event_log& log);
 
--- a/src/proxy/descriptors_tests.cpp
+++ b/src/proxy/descriptors_tests.cpp
@@ -26,13 +26,14 @@
     return "r" + std::to_string(number);
 }
 
-// The configuration stays proven meanwhile.
+// Moves the clock and keeps the configuration proved current.
 void let_time_pass(tests::proxy_world& world, base::micros span) {
     world.move_clock(span);
     world.prove_config();
 }
 
-// Leaves this process no more descriptors than it has open, until it goes out of scope.
+// Lowers the descriptor limit so that the process can open no more descriptors while the object
+// exists.
 class no_descriptors_left {
 public:
     no_descriptors_left() {
@@ -53,8 +54,9 @@
 
 } // namespace
 
-// An entry's own connections find no descriptor, since callers and upstreams have them all.
-TEST_CASE("callers and upstreams leave descriptors for the entry's own connections",
+// Guards against client and upstream connections using up the descriptors that the entry's own
+// connections need.
+TEST_CASE("client and upstream connections leave descriptors for the entry's own connections",
           "[proxy][descriptors]") {
     const std::size_t limit = GENERATE(16U, 64U, 256U, 1024U, 4096U, 4200U, 8192U, 1048576U);
     const auto shares = proxy::share_descriptors(limit);
@@ -65,8 +67,8 @@
     CHECK(shares.reserve >= limit / 8);
 }
 
-// Connections that callers keep without using them take the places of callers who come with work.
-TEST_CASE("at the bound the callers that have been idle longest make room for others",
+// Guards against idle client connections that keep out clients with requests.
+TEST_CASE("at the limit the clients that have been idle longest make room for others",
           "[proxy][descriptors]") {
     constexpr std::size_t most = 8;
     constexpr std::size_t came = 30;
@@ -87,10 +89,11 @@
     CHECK(world.callers_port().idle_closed() >= static_cast<std::int64_t>(came - most));
 }
 
-// To make room, the entry cuts off a caller whose request is under way, or takes more than it has
-// room for.
-TEST_CASE("where all callers at the bound are at work, the next one waits until one has ended",
-          "[proxy][descriptors]") {
+// Guards against making room by disconnecting a client whose request is in flight, and against
+// exceeding the limit.
+TEST_CASE(
+    "if all clients at the limit have requests in flight, the next one waits until one has ended",
+    "[proxy][descriptors]") {
     constexpr std::size_t most = 6;
     tests::proxy_world world;
     world.stop_clock();
@@ -120,9 +123,9 @@
     CHECK(port.open_connections() == most);
 }
 
-// A request that has come, and was not read yet, gets no answer since its connection is closed to
-// make room.
-TEST_CASE("a connection with bytes unread is not closed to make room", "[proxy][descriptors]") {
+// Guards against losing a request that has arrived but was not read yet when its connection is
+// closed to make room.
+TEST_CASE("a connection with unread bytes is not closed to make room", "[proxy][descriptors]") {
     tests::proxy_world world;
     world.stop_clock();
     world.add_engine("i-1", echo);
@@ -141,8 +144,8 @@
     CHECK_FALSE(world.seen_by(1).reset);
 }
 
-// A process without descriptors tries to accept again and again, and does nothing else.
-TEST_CASE("accepting pauses when the process has no descriptor left, and goes on after it",
+// Guards against a busy loop of failing accepts in a process that has no descriptors left.
+TEST_CASE("accepting pauses while the process has no descriptor left, and then resumes",
           "[proxy][descriptors]") {
     tests::proxy_world world;
     world.add_engine("i-1", echo);
@@ -154,7 +157,7 @@
     REQUIRE(world.run_until([&] { return port.open_connections() == 3; }));
     {
         auto short_of = std::optional<no_descriptors_left>();
-        // The caller's own connection takes its descriptor at once, the entry's is then short.
+        // The client's end takes its descriptor first; the entry's end then finds none.
         world.call_until(tests::request("once", "r9"), [&] {
             if (!short_of) {
                 short_of.emplace();
@@ -169,8 +172,8 @@
     CHECK(world.last_seen().heads[0].status == 200);
 }
 
-// Connections kept to upstreams that nobody uses take the descriptors of the entry's own.
-TEST_CASE("idle connections to upstreams are kept up to a bound", "[proxy][descriptors]") {
+// Guards against unused upstream connections that take the descriptors the entry needs for its own.
+TEST_CASE("idle connections to upstreams are limited", "[proxy][descriptors]") {
     constexpr std::size_t most = 2;
     tests::proxy_world world;
     world.engine_connections().limit_idle(most);
@@ -184,8 +187,8 @@
     CHECK(world.engine_connections().idle_count() == most);
 }
 
-// An entry that pauses a thousand times a second fills its log with that.
-TEST_CASE("a span of pauses is logged with one pair of lines", "[proxy][descriptors]") {
+// Guards against filling the log when accepting pauses a thousand times a second.
+TEST_CASE("repeated pauses are logged with one pair of lines", "[proxy][descriptors]") {
     tests::proxy_world world;
     proxy::accept_log_state log_state;
     base::instant now = world.entry().now();
--- a/src/proxy/frontend_server.cpp
+++ b/src/proxy/frontend_server.cpp
@@ -24,20 +24,22 @@
 constexpr int status_too_large = 413;
 constexpr int status_head_too_large = 431;
 constexpr int listen_backlog = 1024;
-// Bytes of a next request that are read while an answer is under way. Reading goes on so that a
-// caller who leaves is noticed.
+// Bytes of the next request that are read while a response is in progress. Reading continues so
+// that a client that disconnects is noticed.
 constexpr std::size_t read_ahead_bytes = 64U << 10U;
-// After a last answer we read on for this long: closing with unread bytes would reset the
-// connection, and the caller could lose the answer.
+// Time for which the connection is still read after its final response. Closing a socket with
+// unread bytes resets the connection, and the client could lose the response.
 constexpr base::milliseconds linger_time{1000};
-// A caller's link may be slow; beyond this its machine is gone.
+// Keepalive settings for clients, whose links may be slow. A client that exceeds these limits is
+// considered gone.
 constexpr adapters::silence_limits client_keepalive{base::milliseconds(8000), base::seconds(3), 3};
 
-// A connection that has just been accepted or answered is about to be used.
+// A connection that was accepted or answered more recently than this is not closed as idle, since
+// the client is likely to use it.
 constexpr base::milliseconds min_idle_time{200};
-// While accepting is paused, connections are looked through for idle ones this often.
+// While accepting is paused, idle connections are searched for at this interval.
 constexpr base::milliseconds accept_retry_period{20};
-// One in so many connections is kept free for those who come next.
+// One in this many connections is kept free for new clients.
 constexpr std::size_t spare_divisor = 16;
 constexpr std::size_t max_spare_connections = 64;
 
@@ -59,7 +61,7 @@
 
 } // namespace
 
-// A caller's connection: reads one request at a time and writes its answer.
+// A client's connection. It reads one request at a time and writes the response.
 class client_connection : public std::enable_shared_from_this<client_connection> {
 public:
     client_connection(frontend_server& server, std::int64_t number, int descriptor)
@@ -80,7 +82,7 @@
     [[nodiscard]] bool is_open() const {
         return this->socket != nullptr && !this->final_response_written;
     }
-    // Bytes that wait here or in the kernel, such as a request that has just come.
+    // Whether bytes wait in the buffer or in the kernel, such as a request that has just arrived.
     [[nodiscard]] bool has_unread() const {
         int waiting = 0;
         ioctl(bufferevent_getfd(this->socket), FIONREAD, &waiting);
@@ -119,13 +121,13 @@
 
     void abort() {
         if (this->socket != nullptr && this->chunked) {
-            // The missing last chunk shows that the answer is not whole. What was sent before still
-            // leaves, so that the caller can go on after it.
+            // The missing last chunk shows that the response is incomplete. Data sent before is
+            // still delivered, so that the client can resume after it.
             this->end_exchange(false);
             return;
         }
         if (this->socket != nullptr) {
-            // An orderly close would complete an answer without a length.
+            // An orderly close would mark a response without a length as complete.
             const struct linger reset_on_close { 1, 0 };
             setsockopt(bufferevent_getfd(this->socket), SOL_SOCKET, SO_LINGER, &reset_on_close,
                        sizeof reset_on_close);
@@ -134,8 +136,8 @@
         this->close();
     }
 
-    // No further request is read. What is still to be sent leaves first: an answer may be complete
-    // for us while half of it waits for the caller's link.
+    // Stops reading requests and closes the connection once all output is sent: a response may be
+    // complete for the server while part of it still waits for the client's link.
     void close_gracefully() {
         this->remove_from_idle();
         this->reading = false;
@@ -145,7 +147,7 @@
         }
         this->server->closing_count += std::exchange(this->final_response_written, true) ? 0 : 1;
         bufferevent_setwatermark(this->socket, EV_READ, 0, 0);
-        // A timeout stops the reading, and we go on until the caller has closed.
+        // A read timeout disables reading; it is enabled again until the client closes.
         bufferevent_enable(this->socket, EV_READ);
         if (this->unsent() == 0) {
             this->on_output_drained();
@@ -246,7 +248,7 @@
         }
     }
 
-    // Some callers send an empty line after a body; it belongs to no request.
+    // Some clients send an empty line after a body; it belongs to no request.
     void skip_blank_lines(evbuffer* input) const {
         while (!this->reading && evbuffer_get_length(input) >= 2) {
             std::string_view begin = contents(input);
@@ -300,7 +302,8 @@
         if (this->socket == nullptr) {
             return;
         }
-        // A caller must not come back on a connection that the end of the process will cut.
+        // During shutdown connections are not kept alive: the client must not send another request
+        // on one that the end of the process will cut.
         if (keep && !this->server->stopped) {
             this->wait_for_request();
             if (evbuffer_get_length(bufferevent_get_input(this->socket)) > 0) {
@@ -332,14 +335,14 @@
     exchange_ptr exchange;
     base::instant request_start{};
     base::instant idle_start{};
-    // Its place among the idle ones; 0 for none.
+    // Key in the server's idle list; 0 if the connection is not idle.
     std::int64_t idle_key = 0;
-    // A request has begun to arrive and is not whole yet.
+    // A request has been received in part.
     bool reading = false;
     bool continue_checked = false;
     bool chunked = true;
     bool keep_alive_after = true;
-    // The last answer on this connection has been written.
+    // The final response on this connection has been written.
     bool final_response_written = false;
 };
 
@@ -434,10 +437,12 @@
     }
 }
 
-// Without a pause the loop would try again at once, for as long as descriptors are short.
+// Pauses accepting: otherwise the event loop would retry at once for as long as the process lacks
+// descriptors.
 void frontend_server::accept_failed() {
     if (errno == EMFILE) {
-        // Others use more than was thought, or the limit is lower: give way for good.
+        // Other parts of the process use more descriptors than planned, or the system limit is
+        // lower: lower the connection limit permanently.
         constexpr std::size_t kept_of_four = 3;
         this->connection_limit =
             std::max<std::size_t>(1, this->connections.size() * kept_of_four / 4);
--- a/src/proxy/frontend_server.h
+++ b/src/proxy/frontend_server.h
@@ -20,8 +20,8 @@
 
 class client_connection;
 
-// One request of a caller and its answer. It outlives the caller's connection; what is sent after
-// the caller has gone is dropped.
+// One client request and its response. The object may outlive the client's connection; whatever is
+// sent after the client has disconnected is dropped.
 class client_exchange {
 public:
     client_exchange(std::weak_ptr<client_connection> connection, http::request_head head,
@@ -32,21 +32,22 @@
     base::instant arrived;
 
     [[nodiscard]] bool is_open() const;
-    // The whole answer at once.
+    // Sends a complete response.
     void respond(int status, const http::fields& all, const std::string& body);
-    // An answer in pieces: `start`, any number of `send`, `finish`.
+    // Sends a response in pieces: `start`, any number of `send`, `finish`.
     void start(int status, const http::fields& all);
     void send(const std::string& bytes);
     void finish();
-    // Breaks the connection under an answer that can't be completed, so that it can't be taken for
-    // a whole one.
+    // Breaks the connection during a response that cannot be completed, so that the client cannot
+    // mistake it for a complete one.
     void abort();
-    // Bytes that the kernel has not taken yet: how far the caller lags in reading.
+    // Bytes of the response that the kernel has not accepted yet, which shows how far the client
+    // lags in reading.
     [[nodiscard]] std::size_t unsent() const;
 
-    // The caller closed its connection before the answer was whole.
+    // The client closed its connection before the response was complete.
     sigc::signal<void()> disconnected;
-    // All bytes sent so far were taken by the kernel.
+    // The kernel has accepted all bytes sent so far.
     sigc::signal<void()> drained;
 
 private:
@@ -55,27 +56,28 @@
 
 using exchange_ptr = std::shared_ptr<client_exchange>;
 
-// Bounds on what a caller may send, and how long it may take.
+// Limits on the size of a request, and on how long the client may take to send it.
 struct client_limits {
     http::read_limits read;
     base::milliseconds head_timeout{3000};
     base::milliseconds idle_timeout{15000};
 };
 
-// What the server asks of its owner.
+// Callbacks into the owner of the server.
 struct frontend_callbacks {
     std::function<void(const exchange_ptr&)> on_request;
     std::function<client_limits()> limits;
     std::function<base::instant()> now;
-    // A request was refused before it was read whole, with this status.
+    // A request was refused with this status before it was received completely.
     std::function<void(int status)> on_refused;
 };
 
-// More than any process can have.
+// More connections than any process can have.
 constexpr std::size_t unbounded_connections = std::size_t{1} << 30U;
 
-// HTTP/1.1 towards callers, over bufferevents: evhttp reads a whole body before its handler runs,
-// takes ambiguous heads, and can't tell a caller who leaves from one who sends the next request.
+// HTTP/1.1 server for clients, on libevent's bufferevents. evhttp is not used because it reads the
+// whole body before its handler runs, accepts ambiguous heads, and cannot distinguish a client that
+// disconnects from one that pipelines its next request.
 class frontend_server {
 public:
     frontend_server(event_base* base, frontend_callbacks callbacks);
@@ -84,19 +86,20 @@
     frontend_server& operator=(const frontend_server&) = delete;
 
     bool listen(const std::string& address);
-    // The port that is listened on; 0 before `listen`.
+    // The port the server listens on; 0 before `listen`.
     [[nodiscard]] std::uint16_t port() const;
-    // From now on each answer is the last on its connection.
+    // From now on each connection is closed after its next response.
     void close_after_responses();
-    // Takes no more connections, and closes each as soon as it is idle.
+    // Stops accepting connections, and closes each connection as soon as it is idle.
     void stop();
-    // Bytes of answers that have not left yet.
+    // Bytes of responses that the kernel has not accepted yet.
     [[nodiscard]] std::size_t unsent() const;
     [[nodiscard]] std::size_t open_connections() const { return this->connections.size(); }
-    // Has at most so many connections open. Those that have been idle longest are closed to make
-    // room; where all are at work, nothing is accepted until one has ended.
+    // Limits the number of open connections. The connections that have been idle longest are closed
+    // to make room; if none is idle, accepting pauses until a connection is closed.
     void limit_connections(std::size_t count);
-    // Lower than what was asked for where the process ran out of descriptors before it.
+    // The connection limit in force. It is lower than the configured one if the process ran out of
+    // file descriptors earlier.
     [[nodiscard]] std::size_t max_connections() const { return this->connection_limit; }
     [[nodiscard]] bool paused() const { return this->is_paused; }
     [[nodiscard]] std::int64_t pauses() const { return this->pause_count; }
@@ -117,13 +120,13 @@
     event_base* base;
     frontend_callbacks callbacks;
     evconnlistener* listener = nullptr;
-    // By number, so that they are gone through in the order in which they came.
+    // Ordered by connection number, so that iteration follows the order of arrival.
     std::map<std::int64_t, std::shared_ptr<client_connection>> connections;
     std::int64_t last_connection = 0;
-    // Those that wait for a request, in the order in which they began to.
+    // Connections that wait for a request, ordered by the time since which they have been idle.
     std::map<std::int64_t, client_connection*> idle;
     std::int64_t last_idle_key = 0;
-    // Connections that we have closed and their callers have not yet.
+    // Connections that the server has finished sending on, but that the client has not closed yet.
     std::size_t closing_count = 0;
     std::size_t connection_limit = unbounded_connections;
     adapters::timer accept_retry_timer;
--- a/src/proxy/request_attempts.cpp
+++ b/src/proxy/request_attempts.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <utility>
 
-// How a request goes to an upstream, and leaves it again.
+// Sends attempts to upstreams and releases their connections.
 namespace camphorrail::proxy {
 
 namespace {
@@ -16,13 +16,14 @@
 using adapters::importance;
 using base::milliseconds;
 
-// What a request's way to an upstream and back takes at least.
+// The least time a request takes to reach an upstream and its response to come back; subtracted
+// from the time left that the upstream is given.
 constexpr milliseconds min_round_trip{4};
-// An upstream that says how long it keeps idle connections is taken at its word, less a quarter.
-// One that says nothing is trusted for this long.
+// An upstream that states its idle timeout has its connections reused for three quarters of it.
+// Without a stated timeout they are reused for this long.
 constexpr milliseconds default_keep_time{2000};
-// A call that may not run twice is lost if its connection turns out to be dead, so it takes only
-// connections that were used this recently; a new one costs a round trip.
+// A request that may not be executed twice is lost if its connection turns out to be dead, so it
+// reuses only connections that were used this recently. A new connection costs one round trip.
 constexpr milliseconds non_repeatable_max_idle{700};
 constexpr base::seconds max_idle_time{60};
 
@@ -49,8 +50,9 @@
     this->send_to(std::move(*choice));
 }
 
-// Decides whether a request that no upstream has had yet is taken, or refused in overload, and
-// notes that for the prompts after it. Calls without a prompt wait at no engine.
+// Decides whether a request that no upstream has received yet is accepted or refused for overload,
+// and records the decision for later prompts. Requests without a prompt are always accepted, since
+// they do not queue at an engine.
 bool request_flow::admit_prompt(const upstream_choice& choice) {
     const std::int64_t tokens = choice.chain.all_tokens();
     if (tokens == 0) {
@@ -72,7 +74,7 @@
     return verdict != kvcache::prompt_verdict::refused;
 }
 
-// Whether no upstream has had it yet.
+// True if the request has not been sent to any upstream yet.
 bool request_flow::is_first_attempt() const {
     return this->possible_executions == 0 && this->retry_count == 0 && this->unreachable_count == 0;
 }
@@ -115,7 +117,7 @@
     this->call_upstream(std::move(bytes));
 }
 
-// The request as its upstream gets it.
+// Serializes the request for the upstream.
 std::string request_flow::request_bytes(const ports::attempt_parameters& parameters) const {
     const auto& head = this->exchange->head;
     const bool has_body = !this->exchange->body.empty() || http::has(head.all, "Content-Length") ||
@@ -153,7 +155,8 @@
         .flag("suspect", this->criteria.suspect);
 }
 
-// Takes a connection, and notes everywhere that the attempt is under way.
+// Acquires a connection and records the attempt with all trackers: the upstream's load, quarantine
+// trials, cache beliefs and metrics.
 void request_flow::begin_attempt(upstream_choice choice) {
     this->current = attempt{};
     this->current->choice = std::move(choice);
@@ -177,7 +180,8 @@
     this->renew_begin_deadline();
 }
 
-// By when the upstream must have begun; nothing where it holds no weights.
+// The time by which the upstream must have begun to respond; empty if the upstream holds no
+// weights.
 std::optional<base::instant> request_flow::current_begin_deadline() const {
     const auto weights = this->current->choice.weights;
     if (weights == 0) {
@@ -238,9 +242,10 @@
                                      }});
 }
 
-// Whether the attempt, whose connection stands only now, may still go to its upstream. On a VM
-// whose turn is long, that takes up to a second, in which the list, or an answer, may say that the
-// upstream leaves; sent then, it reached the upstream beyond the bound on that.
+// Checked once a new connection is established, before anything is sent. Connecting can take up to
+// a second on a VM that is rarely scheduled, and meanwhile the list or another response may say
+// that the upstream is draining. A request sent then would reach it after the bound on requests to
+// draining upstreams.
 bool request_flow::may_still_send() const {
     const auto* member = this->current_member();
     const base::instant now = this->context.now();
@@ -257,7 +262,8 @@
     return fleet::is_available(*member);
 }
 
-// Notes what the request will have the upstream hold, and what it takes of a store's link.
+// Records that the upstream will hold the prompt, and how much of the stores' bandwidth the request
+// uses.
 void request_flow::record_prompt_sent() {
     const auto& sent = this->current->choice;
     auto& state = this->context.state;
@@ -278,7 +284,7 @@
             short_prompt};
 }
 
-// The attempt is over and its connection may serve another call.
+// Ends the attempt and returns its connection to the pool.
 void request_flow::end_attempt() {
     this->stall_timer.clear();
     this->weights_timer.clear();
@@ -297,7 +303,7 @@
     const bool restarted =
         known != upstreams.end() && known->second.listed.incarnation != left.choice.incarnation;
     const auto idle = left.metadata.idle_timeout;
-    // A connection to an earlier life is dead, and would lose the next call that is sent on it.
+    // A connection to the previous incarnation is dead, and a request sent on it would be lost.
     const base::micros keep = restarted ? base::micros(0)
                               : idle    ? *idle * 3 / 4
                                         : default_keep_time;
--- a/src/proxy/request_failures.cpp
+++ b/src/proxy/request_failures.cpp
@@ -10,7 +10,7 @@
 using adapters::importance;
 using base::milliseconds;
 
-// Each costs at most the time that a connection may take.
+// Limits connection failures per request. Each costs at most the connect timeout.
 constexpr int max_unreachable = 4;
 
 const char* name_of(call_failure reason) {
@@ -66,7 +66,8 @@
         .text("last_event", this->relay.last_event_id)
         .span("after_ms", this->context.now() - this->current->sent_at)
         .text("digest", may_have_run ? this->identity().digest.value : "");
-    // An upstream that changes its weights cuts off what it can't finish, as ordered.
+    // An upstream that changes weights on request aborts what it cannot finish, so this break is
+    // expected.
     const auto* member = this->current_member();
     const bool expected_break = reason == call_failure::broken && member != nullptr &&
                                 member->weights_change_until > this->context.now();
@@ -84,10 +85,11 @@
         this->retry_or_fail(name);
         return;
     }
-    // Nothing has left, so nothing is repeated.
+    // No byte was sent, so the next attempt repeats nothing.
     ++this->unreachable_count;
     if (is_upstream_fault) {
-        // A connection that can't be made says more than an answer that fails.
+        // A failed connect is stronger evidence against the upstream than a failed response, so it
+        // counts twice.
         record_upstream_failure(this->context, upstream, name);
     }
     if (this->unreachable_count < max_unreachable) {
@@ -99,7 +101,7 @@
 
 void request_flow::report_broken_attempt() {
     const auto* member = this->current_member();
-    // One that leaves ends as it said it would.
+    // A draining upstream is expected to close its connections.
     if (member == nullptr || !fleet::is_available(*member)) {
         return;
     }
@@ -133,7 +135,7 @@
     return true;
 }
 
-// What has come of the answer so far stays with the caller; the rest is asked for after it.
+// The client keeps the events it has received; the next upstream is asked to resume after them.
 void request_flow::prepare_to_resume() {
     this->body_buffer.clear();
     resume_relay(this->relay);
@@ -144,7 +146,8 @@
     if (this->may_retry() && this->consume_retry()) {
         this->prepare_to_resume();
         if (this->was_trial) {
-            // What its trial did is known in a moment; until then it may crash one upstream more.
+            // Whether the trial crashed its upstream is known only a moment later. Retrying before
+            // then could crash one more upstream.
             this->trial_timer.set(quarantine::quarantine_rules{}.same_moment);
         } else {
             this->send_attempt();
@@ -154,9 +157,10 @@
     this->fail_request(reason, base::code::no_upstream, base::code::upstream_failed, std::nullopt);
 }
 
-// The final answer, true about whether the request ran: `unrun` where no upstream can have begun on
-// it, else `begun_code`. An answer that has begun can only be broken off. Without a hint when to
-// come back, it is when an upstream of the pool may be free.
+// Sends the final response, which states whether the request was executed: `not_run_code` if no
+// upstream can have begun to execute it, `maybe_run_code` otherwise. A response that has begun can
+// only be aborted. Without a hint, the client is told to retry when an upstream of the pool may be
+// free.
 void request_flow::fail_request(const char* reason, base::code not_run_code,
                                 base::code maybe_run_code, std::optional<milliseconds> hint) {
     if (this->state == response_state::streaming) {
@@ -205,9 +209,9 @@
     }
 }
 
-// Goes on at another upstream. The silent one keeps the request where no other can take it, or the
-// retry budget does not allow it: its answer may still come, and one that has begun could only be
-// broken off.
+// Moves the request to another upstream. It stays at the silent one if no other upstream can take
+// it or the retry budget is spent: the response may still come, and a stream that has begun could
+// only be aborted.
 bool request_flow::fail_over(bool dead) {
     const auto id = this->current->choice.id;
     this->criteria.tried.push_back(id);
@@ -230,16 +234,18 @@
     return true;
 }
 
-// An engine that turned out slower than expected has not begun, and its weights are outdated for as
-// long as is allowed. It drops a call that is cancelled before its first event, so nothing begins
-// on such weights; whether it was about to begin can't be known.
+// Cancels an attempt at an engine that was slower than predicted and has not begun to respond by
+// the time its weights are outdated for as long as is allowed. Engines drop a request that is
+// cancelled before its first event, so nothing begins on outdated weights; whether the engine was
+// about to begin cannot be known.
 void request_flow::on_weights_expired() {
     if (!this->current || this->current->response_started) {
         return;
     }
     const auto deadline = this->current_begin_deadline();
     if (!deadline || this->context.now() < *deadline) {
-        // The entry has seen since that they are not outdated, or not for as long.
+        // The deadline has moved since the timer was set: newer information shows that the weights
+        // are not outdated, or became outdated later.
         this->renew_begin_deadline();
         return;
     }
@@ -277,7 +283,8 @@
                     other_entry_delay);
 }
 
-// The attempt under way is called off first; it may have begun if a byte of it may have left.
+// Cancels the current attempt first. It counts as possibly executed if any byte of it may have been
+// sent.
 void request_flow::terminate(const char* reason, base::code not_run_code, base::code maybe_run_code,
                              milliseconds hint) {
     const auto self = this->shared_from_this();
--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -15,7 +15,7 @@
 using adapters::importance;
 using base::milliseconds;
 
-// For routes without a timeout, from callers without a deadline.
+// Applies to routes without a timeout when the client sets no deadline.
 constexpr milliseconds default_timeout{60000};
 
 std::uint64_t request_hash(const ports::client_request& metadata) {
@@ -109,7 +109,7 @@
     return this->context.now() - this->exchange->arrived;
 }
 
-// How long the platform's list has lacked the upstream, as logs show it; -1 where it is listed.
+// How long the upstream has been missing from the platform's list, for logs; -1 if it is listed.
 base::micros request_flow::unlisted_time(const base::upstream_id& id) const {
     constexpr base::milliseconds listed{-1};
     const auto& members = this->context.state.fleet.members;
@@ -139,7 +139,7 @@
 
 void request_flow::refuse(base::code number, base::execution_state ran, milliseconds retry_after) {
     if (this->upstream_error) {
-        // An upstream's own error says more than ours.
+        // An upstream's own error tells the client more than a refusal by this entry.
         const full_response kept = std::move(*this->upstream_error);
         this->exchange->respond(kept.head.status, client_fields(kept.head), kept.body);
         this->finish("upstream_error", kept.head.status);
@@ -172,7 +172,7 @@
     this->finish("refused", status);
 }
 
-// The answer has begun and can't be completed, or there is nobody to answer.
+// Used if the response has begun and cannot be completed, or if the client has disconnected.
 void request_flow::abort_response(const char* reason) {
     this->exchange->abort();
     this->context.log.line(importance::keep, "broken_off")
--- a/src/proxy/request_flow.h
+++ b/src/proxy/request_flow.h
@@ -15,28 +15,29 @@
 
 namespace camphorrail::proxy {
 
-// One request of a caller, from its arrival to its final answer: over one upstream, or several in
-// turn where it may be sent again.
+// Proxies one client request from its arrival to its final response. Attempts go to one upstream
+// after another where the request may be retried.
 class request_flow : public std::enable_shared_from_this<request_flow> {
 public:
     request_flow(entry_context& context, exchange_ptr exchange);
 
     void begin();
-    // The process ends: whatever is under way is broken off.
+    // Terminates the request because the process is shutting down.
     void abort_for_shutdown();
-    // A request is held back from now on. Where it is this one and its upstream has not begun to
-    // answer, it is called off: it may still wait there for its turn.
+    // Cancels this request if it is the one that has just been quarantined and its upstream has not
+    // begun to respond: it may still be queued there.
     void cancel_if_quarantined(const quarantine::hold& hold);
-    // Sees to it that nothing begins any more on weights that are outdated for too long: the call
-    // under way is taken back unless it has begun by then. To be called whenever more is known of
-    // when weights were named; a call may wait at its upstream since before newer ones were.
+    // Rearms the timer that cancels the current attempt if its upstream has not begun to respond
+    // before its weights are outdated for too long. Call it whenever more is known about when
+    // weights were named: a request may have been queued at its upstream since before newer weights
+    // were named.
     void renew_begin_deadline();
 
-    // Told once, when the request has ended.
+    // Called once, when the request has ended.
     std::function<void()> on_end;
 
 private:
-    // One call to one upstream.
+    // One attempt at one upstream.
     struct attempt {
         upstream_choice choice;
         connection_ptr connection;
@@ -44,15 +45,16 @@
         ports::response_metadata metadata;
         http::response_head head;
         bool head_received = false;
-        // Its first byte has come.
+        // The first byte of the response has been received.
         bool response_started = false;
-        // It has said nothing for so long that others were warned.
+        // The upstream has been silent for so long that the other entries were warned.
         bool suspected = false;
-        // It was chosen although the list lacked it.
+        // The upstream was chosen although it is missing from the platform's list.
         bool last_resort = false;
-        // It is the copy of a suspect that is being tried.
+        // The attempt is the one trial that is allowed for a request suspected of crashing
+        // upstreams.
         bool trial = false;
-        // When the answer's first byte came.
+        // When the first byte of the response was received.
         base::instant first_byte_at{};
     };
 
@@ -61,7 +63,7 @@
         std::string body;
     };
 
-    // Whether the caller's answer has begun, and in which form.
+    // How far the response to the client has got.
     enum class response_state { none, streaming, ended };
 
     void send_attempt();
@@ -127,19 +129,19 @@
     [[nodiscard]] base::micros age() const;
     [[nodiscard]] base::micros unlisted_time(const base::upstream_id& id) const;
     [[nodiscard]] const char* kind_name() const;
-    // Null where the upstream has started again since, or is gone.
+    // Null if the upstream has restarted since the attempt was sent, or is gone.
     [[nodiscard]] fleet::member* current_member() const;
     [[nodiscard]] fleet::request_work current_work() const;
     const quarantine::request_identity& identity();
 
     entry_context& context;
     exchange_ptr exchange;
-    // Worked out where it is needed.
+    // Computed on first use.
     std::optional<quarantine::request_identity> cached_identity;
     ports::client_request metadata;
     admitted_request request;
     selection_criteria criteria;
-    // What its team's quota was charged with; nothing where it has none.
+    // Units charged to the team's quota; empty if the team has no quota.
     std::optional<quota::units> charged_quota;
     base::milliseconds timeout{0};
     adapters::timer timeout_timer;
@@ -147,25 +149,25 @@
     adapters::timer weights_timer;
     adapters::timer trial_timer;
     std::optional<attempt> current;
-    // Upstreams that may have begun on the request.
+    // Number of upstreams that may have begun to execute the request.
     int possible_executions = 0;
-    // The last attempt was the trial of a suspect.
+    // The last attempt was the trial of a suspected request.
     bool was_trial = false;
-    // Calls beyond the first, and connections that never came to stand.
+    // Attempts after the first, and connections that could not be established.
     int retry_count = 0;
     int unreachable_count = 0;
     stream_relay relay;
     std::string body_buffer;
-    // An upstream's error, for the case that no other upstream gives a better answer.
+    // An upstream's error response, sent to the client if no other upstream gives a better one.
     std::optional<full_response> upstream_error;
     response_state state = response_state::none;
     bool reading_paused = false;
-    // When the current attempt last gave a byte, or was sent.
+    // When the current attempt last received a byte, or was sent.
     base::instant last_progress{};
-    // When the watch for silence is to look next.
+    // When the next stall check is due.
     base::instant stall_check_due{};
     std::optional<base::micros> time_to_first_byte;
-    // When the caller was last sent events, and the longest it has waited for further ones.
+    // When events were last sent to the client, and the longest time between two such sends.
     base::instant last_forwarded_at{};
     base::micros longest_pause{0};
 };
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("a request goes to an upstream and its answer comes back", "[proxy][flow]") {
+TEST_CASE("a request is forwarded to an upstream and its response returned", "[proxy][flow]") {
     tests::proxy_world world;
     auto& engine = world.add_engine("i-1", echo);
     const auto seen = world.call(tests::request("once", "r1", "slot 17"));
@@ -52,12 +52,12 @@
     CHECK(engine.requests[0].field("Tenant-Id") == "north");
     CHECK(engine.requests[0].field("Authorization").empty());
 
-    SECTION("over a connection that serves the next one too") {
+    SECTION("over a connection that is reused for the next one") {
         world.call(tests::request("once", "r2"));
         CHECK(engine.requests.size() == 2);
         CHECK(engine.connections == 1);
     }
-    SECTION("and requests that were sent ahead are answered in their order") {
+    SECTION("and pipelined requests are answered in order") {
         const auto two =
             world.call(tests::request("safe", "r3", "a") + tests::request("safe", "r4", "b"), 2);
         REQUIRE(two.bodies.size() == 2);
@@ -66,10 +66,10 @@
     }
 }
 
-// A slot confirmation reaches its engine, which runs it and loses the answer. Were it sent to
-// another engine, two porters would come; were it refused as not run, the caller would send it
-// again. So it ends with a failure that promises nothing.
-TEST_CASE("a call that may not run twice is never sent again once it may have run",
+// A request that may not be executed twice is executed, but its response is lost. Sending it to
+// another upstream would execute it twice; refusing it as not executed would make the client send
+// it again. It must end with a failure that leaves open whether it was executed.
+TEST_CASE("a request that may not be executed twice is not retried once it may have been executed",
           "[proxy][flow]") {
     tests::proxy_world world;
     const step how = GENERATE(reset_it, close_it);
@@ -84,7 +84,8 @@
     CHECK(first.requests.size() + second.requests.size() == 1);
 }
 
-TEST_CASE("an upstream's word that it did not run a call lets it go elsewhere", "[proxy][flow]") {
+TEST_CASE("a request that an upstream states it did not execute goes to another upstream",
+          "[proxy][flow]") {
     tests::proxy_world world;
     int asked = 0;
     const auto once_refused = [&asked](const engine_request& got) {
@@ -97,7 +98,7 @@
     CHECK(seen.heads[0].status == 200);
     CHECK(asked == 2);
 
-    SECTION("and when all refuse, the caller learns that it has not run, and when to come back") {
+    SECTION("and if all refuse, the client is told that it was not executed and when to retry") {
         asked = -100;
         tests::proxy_world full;
         full.add_engine("i-1", refuse);
@@ -108,7 +109,7 @@
     }
 }
 
-TEST_CASE("a call that may run twice goes to another upstream", "[proxy][flow]") {
+TEST_CASE("a request that may be executed twice is retried at another upstream", "[proxy][flow]") {
     tests::proxy_world world;
     int asked = 0;
     const auto breaks_first = [&asked](const engine_request& got) {
@@ -121,7 +122,7 @@
     CHECK(seen.heads[0].status == 200);
     CHECK(asked == 2);
 
-    SECTION("but to no more of them than its route allows") {
+    SECTION("but at no more upstreams than its route allows") {
         tests::proxy_world broken;
         const auto breaks = [](const engine_request&) { return engine_script{reset_it}; };
         auto& one = broken.add_engine("i-1", breaks);
@@ -131,7 +132,7 @@
         CHECK(failed.heads.at(0).status == 502);
         CHECK(one.requests.size() + two.requests.size() + three.requests.size() == 2);
     }
-    SECTION("and an upstream's own error is passed on when no other does better") {
+    SECTION("and an upstream's own error is returned if no other upstream does better") {
         tests::proxy_world failing;
         failing.add_engine("i-1", [](const engine_request& got) {
             return engine_script{send(tests::answer(got.field("Request-Id"), "no", 500))};
@@ -142,9 +143,10 @@
     }
 }
 
-// An engine that was thought lost sends a second answer to the request before, just where the next
-// one's answer is due. The caller must not get another caller's answer; its own still comes.
-TEST_CASE("an answer to an earlier request is dropped and the right one awaited", "[proxy][flow]") {
+// An engine that was thought lost sends a second response to an earlier request, where the response
+// to the next one is due. The client must get its own response and not another client's.
+TEST_CASE("a late response to an earlier request is dropped and the right one awaited",
+          "[proxy][flow]") {
     tests::proxy_world world;
     int asked = 0;
     world.add_engine("i-1", [&asked](const engine_request& got) {
@@ -162,9 +164,9 @@
     CHECK(http::value_of(seen.heads[0].all, "Response-Stamp") == "s-r2");
 }
 
-// An engine sends a second answer after a whole one. The connection must not serve the next
-// request.
-TEST_CASE("a connection with bytes after its answer is not used again", "[proxy][flow]") {
+// An engine sends extra bytes after a complete response. The connection must not be used for the
+// next request.
+TEST_CASE("a connection with bytes after its response is not reused", "[proxy][flow]") {
     tests::proxy_world world;
     auto& engine = world.add_engine("i-1", [](const engine_request& got) {
         const std::string own = tests::answer(got.field("Request-Id"), "own");
@@ -175,7 +177,7 @@
     CHECK(engine.connections == 2);
 }
 
-TEST_CASE("an answer without a length is whole only on an orderly close", "[proxy][flow]") {
+TEST_CASE("a response without a length is complete only on an orderly close", "[proxy][flow]") {
     tests::proxy_world world;
     step end = close_it;
     world.add_engine("i-1", [&end](const engine_request& got) {
@@ -190,9 +192,10 @@
     CHECK(world.call(tests::request("once", "r2")).heads.at(0).status == 502);
 }
 
-// The engine crashes in the middle of an event. The stream may be resumed, so another engine goes
-// on after the last whole event, and the caller sees one stream with the first engine's head.
-TEST_CASE("a stream that may be resumed goes on at another upstream", "[proxy][flow]") {
+// An engine crashes in the middle of an event of a resumable stream. Another engine must resume
+// after the last complete event, and the client must receive one stream with the first engine's
+// head.
+TEST_CASE("a resumable stream resumes at another upstream", "[proxy][flow]") {
     tests::proxy_world world;
     int asked = 0;
     std::string resumed_after;
@@ -214,9 +217,10 @@
     CHECK(seen.whole);
 }
 
-// A stream breaks off and goes on at another engine, which answers that it failed. Its answer has
-// no events, but it is whole; taken for the stream's end, it made half a stream look complete.
-TEST_CASE("a stream that the next upstream fails is broken off, not ended", "[proxy][flow]") {
+// A stream breaks off and the engine that should resume it responds with an error. That response is
+// complete but has no events; taking it for the end of the stream made half a stream look complete.
+TEST_CASE("a stream that the next upstream fails to resume is aborted, not completed",
+          "[proxy][flow]") {
     tests::proxy_world world;
     int asked = 0;
     const auto script = [&](const engine_request& got) {
@@ -235,10 +239,9 @@
     CHECK_FALSE(seen.whole);
 }
 
-// An engine changes weights and cuts off the streams that it has not finished. They go on
-// elsewhere, as after a crash; but the engine has not failed, and is back as soon as it has
-// changed.
-TEST_CASE("an upstream that cuts streams off to change weights is not ejected", "[proxy][flow]") {
+// An engine that changes weights aborts its unfinished streams. They must resume elsewhere as after
+// a crash, but the engine has not failed and must not be ejected.
+TEST_CASE("an upstream that aborts streams to change weights is not ejected", "[proxy][flow]") {
     tests::proxy_world world;
     const auto cut = [](const engine_request& got) {
         return engine_script{send(tests::stream_head(got.field("Request-Id"))),
@@ -268,8 +271,9 @@
     }
 }
 
-// The same for a stream that may not be resumed: what the caller has got must not look complete.
-TEST_CASE("a stream that can't go on is broken off, not ended", "[proxy][flow]") {
+// The same for a stream that cannot be resumed: the part that the client has received must not look
+// complete.
+TEST_CASE("a stream that cannot resume is aborted, not completed", "[proxy][flow]") {
     tests::proxy_world world;
     world.add_engine("i-1", [](const engine_request& got) {
         return engine_script{send(tests::stream_head(got.field("Request-Id"))),
@@ -280,21 +284,21 @@
     CHECK_FALSE(seen.whole);
 }
 
-// An engine pauses in mid-stream for longer than streams may. No other engine can take the rest, so
-// the answer is waited for: broken off, it would be lost, while the pause may end.
-TEST_CASE("a stream stays at a silent upstream when no other can go on", "[proxy][flow]") {
+// An engine pauses within a stream for longer than the gap limit, and no other engine can take
+// over. The stream must not be aborted, since the pause may end.
+TEST_CASE("a stream stays at a silent upstream if no other can resume it", "[proxy][flow]") {
     tests::proxy_world world;
     auto& engine = world.add_engine("i-1", [](const engine_request& got) {
         return engine_script{
             send(tests::stream_head(got.field("Request-Id")) + tests::chunk(events(1, 2))), hang};
     });
     world.call_until(tests::request("resume", "r1"), [&] { return engine.requests.size() == 1; });
-    // Long enough for several looks.
+    // Long enough for several stall checks.
     int turns = 0;
     CHECK(world.run_until([&turns] { return ++turns >= 500; }));
     CHECK(engine.closed_by_peer == 0);
 
-    SECTION("and goes on elsewhere as soon as one can") {
+    SECTION("and resumes elsewhere as soon as one can") {
         auto& second = world.add_engine("i-2", [](const engine_request& got) {
             return engine_script{send(tests::stream_head(got.field("Request-Id")) +
                                       tests::chunk(events(3, 4)) + "0\r\n\r\n")};
@@ -304,9 +308,9 @@
     }
 }
 
-// A caller gives up and closes its connection. The engine would work on for nobody; it stops when
-// its connection closes.
-TEST_CASE("a caller who leaves takes its request along", "[proxy][flow]") {
+// A client disconnects. The entry must close the connection to the engine, which would otherwise go
+// on working for nobody.
+TEST_CASE("a client that disconnects cancels its request", "[proxy][flow]") {
     tests::proxy_world world;
     auto& engine =
         world.add_engine("i-1", [](const engine_request&) { return engine_script{hang}; });
@@ -315,16 +319,17 @@
     CHECK(world.run_until([&] { return engine.closed_by_peer == 1; }));
 }
 
-// An entry ends while a large answer, complete for the entry, waits for its caller's slow link. The
-// connection has no request under way, but closing it would lose the end of the answer.
-TEST_CASE("an entry that ends sends what it has answered", "[proxy][flow]") {
+// An entry shuts down while a large response, complete for the entry, waits for the client's slow
+// link. No request is in flight on the connection, but closing it would lose the end of the
+// response.
+TEST_CASE("an entry that shuts down sends its completed responses", "[proxy][flow]") {
     tests::proxy_world world;
     const std::string body(6U << 20U, 'x');
     world.add_engine("i-1", [&body](const engine_request& got) {
         return engine_script{send(tests::answer(got.field("Request-Id"), body))};
     });
     bool stopped = false;
-    // A slow link: what the entry sends last waits for some turns of its loop.
+    // A slow link: the last bytes wait for several turns of the entry's event loop.
     constexpr int turns_a_reading = 8;
     int turn = 0;
     const auto seen = world.call_until(tests::request("once", "r1"), [&] {
@@ -340,8 +345,9 @@
     CHECK(seen.bodies.at(0).size() == body.size());
 }
 
-// Connections to one engine can't be made. Nothing has left, so any kind of call may go elsewhere.
-TEST_CASE("an upstream that can't be reached costs the caller nothing", "[proxy][flow]") {
+// Connections to one engine fail. Nothing has been sent, so any kind of request may go to another
+// engine.
+TEST_CASE("an unreachable upstream causes no failure for the client", "[proxy][flow]") {
     tests::proxy_world world;
     world.add_engine("i-1", echo).stop_listening();
     world.add_engine("i-2", echo);
@@ -351,9 +357,9 @@
     }
 }
 
-// Callers may name any model. Each made-up name is refused, and must leave nothing behind: else a
-// caller could fill the memory of the entry.
-TEST_CASE("made-up models leave nothing behind", "[proxy][flow]") {
+// Clients may name any model. Unknown names must be refused and leave no state behind, or a client
+// could exhaust the entry's memory.
+TEST_CASE("unknown model names leave no state behind", "[proxy][flow]") {
     tests::proxy_world world;
     world.config.routes.front().shares_prompts = true;
     world.prove_config();
@@ -372,21 +378,21 @@
     CHECK(world.state.weights.empty());
 }
 
-TEST_CASE("a request that is known to be unservable is refused at once", "[proxy][flow]") {
+TEST_CASE("a request that cannot be served is refused at once", "[proxy][flow]") {
     tests::proxy_world world;
     auto& engine = world.add_engine("i-1", echo);
 
-    SECTION("since the configuration is not proved any more") {
+    SECTION("because the configuration is no longer proved current") {
         world.move_clock(base::seconds(10));
         const auto seen = world.call(tests::request("safe", "r1"));
         CHECK(seen.heads.at(0).status == 503);
         CHECK_FALSE(http::value_of(seen.heads.at(0).all, "Retry-After").empty());
     }
-    SECTION("since no upstream is there") {
+    SECTION("because there is no upstream") {
         world.state.fleet.members.clear();
         CHECK(world.call(tests::request("safe", "r1")).heads.at(0).status == 503);
     }
-    SECTION("since its head could hide a second request") {
+    SECTION("because its head could hide a second request") {
         const auto seen = world.call("POST /safe/x HTTP/1.1\r\nHost: desk.example\r\n"
                                      "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n");
         CHECK(seen.heads.at(0).status == 400);
@@ -396,7 +402,8 @@
 
 namespace {
 
-// A world whose streams share prompts, with one engine that holds version 1 of the model's weights.
+// A test setup whose routes share prompts, with one engine that holds version 1 of the model's
+// weights.
 struct prompt_world : tests::proxy_world {
     explicit prompt_world(std::function<engine_script(const engine_request&)> answer)
         : engine(this->add_engine("i-1", std::move(answer))) {
@@ -427,32 +434,33 @@
 
 } // namespace
 
-// A third of the engines is gone, and all prompts wait at the others. Whoever is sent there all the
-// same gets nothing before it leaves, and makes those before it late; told at once when to come
-// back, it is served then.
-TEST_CASE("a prompt that would wait for too long is told when to come back", "[proxy][flow]") {
+// A third of the engines is gone, and prompts queue at the others. A request sent there would time
+// out in the queue and delay those behind it; refused at once with a retry time, it is served
+// later.
+TEST_CASE("a prompt that would wait for too long is refused with a retry time", "[proxy][flow]") {
     prompt_world world(one_event);
     CHECK(world.call(prompt("stream", "r1")).heads.at(0).status == 200);
-    // The engine has shown itself to be as fast as engines can be.
+    // The first request showed that the engine is as fast as engines can be.
     world.upstream().local_work.unread_tokens = 200000;
     const auto seen = world.call(prompt("stream", "r2"));
     CHECK(seen.heads.at(0).status == 429);
     CHECK(std::stod(std::string(http::value_of(seen.heads.at(0).all, "Retry-After"))) > 0.5);
     CHECK(world.engine.requests.size() == 1);
 
-    SECTION("and served when it does") {
+    SECTION("and served when it retries") {
         world.upstream().local_work.unread_tokens = 0;
         CHECK(world.call(prompt("stream", "r3")).heads.at(0).status == 200);
     }
 }
 
-// While a pool is behind, callers of the largest prompts are refused at each try and the others at
-// none, since the largest are late after the shortest wait. One whose size has been refused too
-// often is taken, though it will be late.
-TEST_CASE("prompts of a size that is refused too often are taken", "[proxy][flow]") {
+// In overload the largest prompts would be refused at every attempt and the others never, since the
+// largest miss their target after the shortest wait. A prompt whose size has been refused too often
+// must be accepted, though it will be late.
+TEST_CASE("prompts of a size that is refused too often are accepted", "[proxy][flow]") {
     prompt_world world(one_event);
     constexpr std::int64_t prompt_tokens = 9190;
-    // A wait of three quarters of the target, and less than half of it to read.
+    // A wait of three quarters of the target, and less than half of the target to process the
+    // prompt.
     world.upstream().local_work.unread_tokens = 15000;
     auto& record = world.state.prompt_sizes["stream"];
     for (int small = 0; small < 40; ++small) {
@@ -468,10 +476,10 @@
     CHECK(record.prompts.back().taken == refused_before);
 }
 
-// A request waits for its connection to an upstream, on a VM whose turn is long, and meanwhile the
-// list says that the upstream leaves. Sent all the same, it reached the upstream beyond the bound
-// on that, a second after it had been chosen.
-TEST_CASE("a request that has not left yet does not go to an upstream that leaves",
+// A request waits for its connection on a VM that is rarely scheduled, and meanwhile the list says
+// that the upstream is draining. When it was sent all the same, it reached the upstream a second
+// after the choice, beyond the bound on that.
+TEST_CASE("a request that has not been sent yet does not go to a draining upstream",
           "[proxy][flow]") {
     tests::proxy_world world;
     std::map<std::string, tests::scripted_engine*> engines;
@@ -480,7 +488,7 @@
     }
     const std::string route = GENERATE("once", "safe");
     std::string left;
-    // The list changes as soon as the request has been given to one of them.
+    // The list changes as soon as the request has been assigned to one of them.
     world.entry().now = [&, clock = world.entry().now] {
         for (auto& [id, one] : world.state.fleet.members) {
             if (left.empty() && one.local_work.in_flight == 1) {
@@ -494,13 +502,13 @@
     REQUIRE_FALSE(left.empty());
     CHECK(seen.heads.at(0).status == 200);
     CHECK(engines.at(left)->requests.empty());
-    // It has failed nobody.
+    // The upstream has failed no request.
     CHECK(world.state.fleet.members.at({left}).health.failures_in_row == 0);
 }
 
-// The stream's first engine broke off after some events. Refusing it now would lose what its caller
-// has already got.
-TEST_CASE("a stream that has begun goes on also in overload", "[proxy][flow]") {
+// The first engine of a stream broke off after some events. Refusing the rest for overload would
+// lose what the client has already received.
+TEST_CASE("a stream that has begun resumes even in overload", "[proxy][flow]") {
     int asked = 0;
     prompt_world* entry = nullptr;
     prompt_world world([&](const engine_request& got) {
@@ -524,10 +532,10 @@
     CHECK(seen.whole);
 }
 
-// An engine with outdated weights is slower than expected, and a prompt waits there until these are
-// outdated for as long as operators allow. Had it begun then, its caller would get an answer made
-// on weights that may not be used any more; so the call is taken back before.
-TEST_CASE("nothing begins on weights that are outdated for too long", "[proxy][flow]") {
+// An engine with outdated weights is slower than predicted, and a prompt waits there until the
+// weights are outdated for as long as operators allow. It must be cancelled before then, or the
+// response would be computed on weights that may no longer be used.
+TEST_CASE("no request begins on weights that are outdated for too long", "[proxy][flow]") {
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
     const auto longest = proxy::max_outdated_weights_age(world.entry().settings);
     const auto named = world.entry().now() - longest + base::milliseconds(50);
@@ -538,7 +546,7 @@
     CHECK(seen.heads.at(0).status == 502);
     CHECK(world.engine.closed_by_peer == 1);
 
-    SECTION("while an answer that has begun goes on") {
+    SECTION("while a response that has begun continues") {
         prompt_world calm([](const engine_request& got) {
             return engine_script{send(tests::stream_head(got.field("Request-Id"))),
                                  send(tests::chunk(events(1, 1))), hang};
@@ -552,9 +560,9 @@
     }
 }
 
-// Guards against requests that begin on weights outdated beyond the bound since they have waited at
-// their engine from before newer ones were named.
-TEST_CASE("a request that waits while newer weights are named does not begin too late",
+// Guards against requests that begin on weights outdated beyond the bound because they have been
+// queued at their engine since before newer ones were named.
+TEST_CASE("a queued request does not begin too late after newer weights are named",
           "[proxy][flow]") {
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
     const auto longest = proxy::max_outdated_weights_age(world.entry().settings);
@@ -569,11 +577,11 @@
         return world.last_seen().ended || !world.last_seen().heads.empty();
     });
     CHECK(world.engine.closed_by_peer == 1);
-    // Not the end of its route's time.
+    // The response came before the route's timeout.
     REQUIRE(world.last_seen().heads.size() == 1);
     CHECK(world.last_seen().heads.front().status == 502);
 
-    SECTION("while an answer that has begun goes on") {
+    SECTION("while a response that has begun continues") {
         prompt_world calm([](const engine_request& got) {
             return engine_script{send(tests::stream_head(got.field("Request-Id"))),
                                  send(tests::chunk(events(1, 1))), hang};
@@ -595,13 +603,14 @@
 }
 
 // Guards against requests that begin on outdated weights at an entry that has lost the store, or
-// stood still, and never hears of newer ones while it goes on with what it has.
-TEST_CASE("nothing begins on weights that may have been outdated for too long", "[proxy][flow]") {
+// was suspended, and never learns of newer ones while it continues with its requests.
+TEST_CASE("no request begins on weights that may have been outdated for too long",
+          "[proxy][flow]") {
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
     const auto bound = world.entry().settings.bounds.outdated_weights;
     const auto seen_long_ago = [&] { return world.entry().now() - bound + base::seconds(1) / 2; };
 
-    SECTION("a request that waits is taken back") {
+    SECTION("a queued request is cancelled") {
         bool waits = false;
         world.call_until(prompt("stream", "r1"), [&] {
             if (!waits && !world.engine.requests.empty()) {
@@ -612,11 +621,11 @@
             return world.last_seen().ended || !world.last_seen().heads.empty();
         });
         CHECK(world.engine.closed_by_peer == 1);
-        // Not the end of its route's time.
+        // The response came before the route's timeout.
         REQUIRE(world.last_seen().heads.size() == 1);
         CHECK(world.last_seen().heads.front().status == 502);
     }
-    SECTION("unless the entry sees meanwhile that they are not") {
+    SECTION("unless the entry learns meanwhile that they are not") {
         base::instant until{};
         world.call_until(prompt("stream", "r1"), [&] {
             if (until == base::instant{} && !world.engine.requests.empty()) {
@@ -639,11 +648,12 @@
     }
 }
 
-// An engine crashes while it answers, and starts again under its id before its entry has seen the
-// connection break. The broken call is the earlier life's: counted against the new one, two such
-// calls would eject it at once. A connection that stood before is dead, and would lose the next
-// call.
-TEST_CASE("a call to an upstream's earlier life says nothing of the new one", "[proxy][flow]") {
+// An engine crashes during a response and restarts under its id before its entry has noticed the
+// broken connection. The failed request belongs to the previous incarnation: two such failures
+// counted against the new one would eject it at once. Connections to the previous incarnation are
+// dead, and would lose the next request.
+TEST_CASE("a request to an upstream's previous incarnation does not affect the new one",
+          "[proxy][flow]") {
     tests::proxy_world world;
     auto& engine = world.add_engine("i-1", echo);
     world.call(tests::request("once", "r1"));
@@ -657,7 +667,7 @@
     world.call(tests::request("once", "r2"));
     CHECK(engine.connections == 2);
 
-    SECTION("neither its failure, nor that it has ended") {
+    SECTION("neither its failure nor its end") {
         world.add_engine("i-2", [&](const engine_request&) {
             fleet::start_incarnation(world.state.fleet.members.at({"i-2"}), {6});
             return engine_script{reset_it};
--- a/src/proxy/request_limits.h
+++ b/src/proxy/request_limits.h
@@ -5,16 +5,19 @@
 
 namespace camphorrail::proxy {
 
-// With less time than this no upstream can answer.
+// With less time left than this, no upstream can respond before the deadline.
 inline constexpr base::milliseconds min_attempt_time{15};
 
-// Upstreams that refuse are free to ask, but each costs a round trip and a retry.
+// Limits retries per request. A refusal executes nothing, but each retry costs a round trip and one
+// unit of the retry budget.
 inline constexpr int max_retries = 3;
 
-// Where no other entry is known to be better off, a caller that comes back meets another entry.
+// Retry-After hint when no other entry is known to be better off: a client that reconnects is
+// likely to reach another entry.
 inline constexpr base::milliseconds other_entry_delay{60};
 
-// An upstream's fields as they go to a caller: without those that concern one connection.
+// The header fields of an upstream's response that are passed to the client: all but the hop-by-hop
+// fields and the length.
 http::fields client_fields(const http::response_head& head);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/request_quarantine.cpp
+++ b/src/proxy/request_quarantine.cpp
@@ -1,7 +1,7 @@
 #include "proxy/request_flow.h"
 #include "proxy/request_limits.h"
 
-// What becomes of a request under which upstreams have crashed.
+// Handles requests that are suspected of crashing upstreams.
 namespace camphorrail::proxy {
 
 namespace {
@@ -9,7 +9,7 @@
 using adapters::importance;
 using base::milliseconds;
 
-// Most trials are over within this time.
+// Retry-After hint while another copy of the request is on trial. Most trials end within this time.
 constexpr milliseconds trial_delay{300};
 
 } // namespace
@@ -25,7 +25,7 @@
     return *this->cached_identity;
 }
 
-// Whether the request may not be sent now; it is ended then.
+// Ends the request if quarantine does not allow it to be sent now; returns true if so.
 bool request_flow::refuse_if_quarantined() {
     this->criteria.suspect = false;
     const auto& known = this->context.state.quarantine;
--- a/src/proxy/request_quota.cpp
+++ b/src/proxy/request_quota.cpp
@@ -1,7 +1,7 @@
 #include "base/hash.h"
 #include "proxy/request_flow.h"
 
-// What a request counts towards its team's quota.
+// Charges requests to their team's quota.
 namespace camphorrail::proxy {
 
 namespace {
@@ -18,7 +18,7 @@
 
 } // namespace
 
-// Whether the request's team has used up its quota; the request is refused then.
+// Refuses the request if its team's quota is used up; returns true if so.
 bool request_flow::refuse_if_over_quota() {
     const auto* team = this->request.team;
     if (team == nullptr || !routes::is_limited(team->quota)) {
@@ -47,7 +47,8 @@
     return true;
 }
 
-// Each upstream that may have begun on the request counts; a request that none has is free.
+// Charges once for each upstream that may have begun to execute the request; a request that none
+// has begun is free.
 void request_flow::settle_quota() {
     if (!this->charged_quota) {
         return;
--- a/src/proxy/request_quota_tests.cpp
+++ b/src/proxy/request_quota_tests.cpp
@@ -16,7 +16,7 @@
     return {{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
 }
 
-// An entry by itself that has been running for long, with two teams of which one has a quota.
+// A single entry that has been running for long, with two teams of which one has a quota.
 struct quota_world : tests::proxy_world {
     explicit quota_world(routes::team_quota quota) {
         this->stop_clock();
@@ -53,8 +53,7 @@
 
 } // namespace
 
-TEST_CASE("requests beyond a team's quota are refused at once, and have not run",
-          "[proxy][quota]") {
+TEST_CASE("requests beyond a team's quota are refused at once and not executed", "[proxy][quota]") {
     quota_world world({routes::quota_unit::requests, 0.5, 3, 1});
     auto& engine = world.add_engine("i-1", answer_at_once);
     int served = 0;
@@ -66,26 +65,26 @@
     CHECK(served <= 5);
     CHECK(engine.requests.size() == static_cast<std::size_t>(served));
 
-    SECTION("with a number of its own and when to come back") {
+    SECTION("with a code of their own and a retry time") {
         const auto seen = world.call(tests::request("safe", "over"));
         CHECK(seen.heads.at(0).status == 429);
         CHECK(seen.bodies.at(0).find("\"quota_spent\"") != std::string::npos);
         CHECK(seen.bodies.at(0).find("\"not_run\"") != std::string::npos);
         CHECK(std::stod(std::string(http::value_of(seen.heads.at(0).all, "Retry-After"))) > 0.0);
     }
-    SECTION("while another team feels nothing") {
+    SECTION("while another team is not affected") {
         for (int each = 0; each < 10; ++each) {
             CHECK(world.status_of(of_south(tests::request("safe", std::to_string(each)))) == 200);
         }
     }
-    SECTION("until it has room again") {
+    SECTION("until the quota has room again") {
         world.move_clock(base::seconds(10));
         world.prove_config();
         CHECK(world.status_of(tests::request("safe", "later")) == 200);
     }
 }
 
-TEST_CASE("where tokens are counted a request counts with both of its numbers", "[proxy][quota]") {
+TEST_CASE("a token quota counts both token numbers of a request", "[proxy][quota]") {
     quota_world world({routes::quota_unit::tokens, 10'000, 10'000, 200});
     world.add_engine("i-1", answer_at_once);
     CHECK(world.status_of(with_tokens(tests::request("safe", "r1"), "900,60")) == 200);
@@ -93,7 +92,7 @@
     CHECK(world.status_of(tests::request("safe", "plain")) == 200);
     CHECK(world.used() == 960 + 200);
 
-    SECTION("and one whose numbers make no sense is refused as malformed") {
+    SECTION("and a request with invalid numbers is refused as malformed") {
         const std::string count = GENERATE("", "7", "1,2,3", "-1,5", "5,-1", "x,5",
                                            "99999999999999999999,1", "1099511627777,0");
         const auto seen = world.call(with_tokens(tests::request("safe", "r2"), count));
@@ -101,22 +100,23 @@
         CHECK(seen.bodies.at(0).find("token_count_malformed") != std::string::npos);
         CHECK(world.used() == 960 + 200);
     }
-    SECTION("and a huge one is refused without harm to the others") {
+    SECTION("and a huge request is refused without affecting the others") {
         CHECK(world.status_of(with_tokens(tests::request("safe", "huge"),
                                           "1099511627776,1099511627776")) == 429);
         CHECK(world.status_of(with_tokens(tests::request("safe", "r3"), "900,60")) == 200);
     }
 }
 
-// The failure: a team's quota is used up by requests that no upstream has run.
-TEST_CASE("only what an upstream may have run counts towards the quota", "[proxy][quota]") {
+// Guards against charging a team's quota for requests that no upstream has executed.
+TEST_CASE("only requests that an upstream may have executed count towards the quota",
+          "[proxy][quota]") {
     quota_world world({routes::quota_unit::requests, 100, 100, 1});
 
-    SECTION("not one that finds no upstream") {
+    SECTION("a request that finds no upstream does not count") {
         CHECK(world.status_of(tests::request("safe", "r1")) == 503);
         CHECK(world.used() == 0);
     }
-    SECTION("not one that its upstreams turn away") {
+    SECTION("a request that its upstreams refuse does not count") {
         world.add_engine("i-1", [](const engine_request& got) {
             return engine_script{{step::kind::send, tests::answer(got.field("Request-Id"), "full",
                                                                   503, "Not-Executed: 1\r\n")}};
@@ -124,7 +124,7 @@
         CHECK(world.status_of(tests::request("once", "r1")) != 200);
         CHECK(world.used() == 0);
     }
-    SECTION("one whose caller left while an upstream worked on it") {
+    SECTION("a request whose client disconnected during its execution counts") {
         auto& engine = world.add_engine("i-1", [](const engine_request&) {
             return engine_script{{step::kind::hang, {}}};
         });
@@ -134,7 +134,7 @@
         REQUIRE(world.run_until([&world] { return world.open_requests() == 0; }));
         CHECK(world.used() == 1);
     }
-    SECTION("twice where a second upstream began on it") {
+    SECTION("a request that a second upstream began counts twice") {
         world.add_engine("i-1", [](const engine_request&) {
             return engine_script{{step::kind::reset, {}}};
         });
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_CASE("entries tell each other what they let through of a quota", "[proxy][quota]") {
+TEST_CASE("entries report to each other how much of a quota they have admitted", "[proxy][quota]") {
     quota_world teller({routes::quota_unit::tokens, 10'000, 10'000, 200});
     quota_world listener({routes::quota_unit::tokens, 10'000, 10'000, 200});
     teller.add_engine("i-1", answer_at_once);
@@ -169,7 +169,7 @@
     CHECK(account.told.at(0).used == teller.used());
     CHECK(account.balance < 10'000 - 8000);
 
-    SECTION("and that they are there when there is nothing else to tell") {
+    SECTION("and report that they are alive when there is nothing else to report") {
         teller.move_clock(base::milliseconds(400));
         CHECK(telling.collect(1).near.has_value());
         teller.move_clock(base::milliseconds(400));
--- a/src/proxy/request_responses.cpp
+++ b/src/proxy/request_responses.cpp
@@ -11,13 +11,14 @@
 using adapters::importance;
 using base::milliseconds;
 
-// Bytes that a caller may lag behind before its upstream is read no further, and bytes of an answer
-// that is held whole.
+// Bytes queued for a slow client above which its upstream is no longer read, and the largest
+// response that is buffered before it is sent. A larger response counts as malformed.
 constexpr std::size_t max_unsent_bytes = 256U << 10U;
 constexpr std::size_t max_buffered_bytes = 8U << 20U;
 constexpr int first_error_status = 500;
 constexpr int first_refusal_status = 300;
-// An upstream that is full, or is just changing weights, is asked again after this long.
+// Time for which an upstream receives no new requests after it refused one, because it is full or
+// because it is changing weights.
 constexpr milliseconds overload_pause{40};
 constexpr milliseconds loading_pause{250};
 
@@ -26,7 +27,8 @@
 bool request_flow::on_response_head(const http::response_head& head) {
     const auto answer = this->context.codec.parse_response(head);
     if (answer.request_id != this->metadata.request_id) {
-        // An upstream may send a second answer to an earlier request; ours is still to come.
+        // An upstream may send a second response to an earlier request; the response to this one is
+        // still to come.
         this->context.log.line(importance::keep, "foreign_answer_dropped")
             .text("request", this->metadata.request_id)
             .text("upstream", this->current->choice.id.value)
@@ -46,7 +48,8 @@
     return true;
 }
 
-// What an upstream says of itself beside the answer holds at once: the answer's end may be far.
+// Applies the drain and pause signals in the response head at once: the end of the response may be
+// far off.
 void request_flow::handle_upstream_signals() {
     const auto& answer = this->current->metadata;
     const auto upstream = instance_of(this->current->choice);
@@ -103,7 +106,8 @@
     }
 }
 
-// The first byte shows that the upstream has read the prompt and holds it from now on.
+// The first byte shows that the upstream has processed the prompt and holds its KV cache from now
+// on.
 void request_flow::record_first_byte() {
     if (this->current->response_started) {
         return;
@@ -123,7 +127,7 @@
     }
 }
 
-// Callers hold an answer for late whose events pause, however early it began.
+// Records gaps in the stream: to a client, a stream that stalls is late however early it began.
 void request_flow::record_pause() {
     const base::instant now = this->context.now();
     if (this->state == response_state::streaming) {
@@ -133,7 +137,8 @@
     this->last_forwarded_at = now;
 }
 
-// Nothing where the upstream changed weights meanwhile: it was not the prompt that took so long.
+// Empty if the upstream changed weights during the attempt, since the latency then does not depend
+// on the prompt.
 latency::first_byte_sample request_flow::first_byte_sample() const {
     const auto& choice = this->current->choice;
     const auto* member = this->current_member();
@@ -149,7 +154,7 @@
             std::max(0.0, taken.count() - choice.fetch_ms)};
 }
 
-// Tells who holds the prompt now, here and to the other entries.
+// Records that the upstream holds the prompt, here and for the report to the other entries.
 void request_flow::report_prompt_read() {
     const auto& choice = this->current->choice;
     const auto& chain = choice.chain;
@@ -194,8 +199,8 @@
     this->on_full_response();
 }
 
-// The upstream that was to go on with a stream answers that it failed. Its answer is whole and the
-// stream is not: it goes on at yet another one, or is broken off.
+// An upstream that was asked to resume a stream responded with an error. The response is complete
+// but the stream is not: it resumes at another upstream or is aborted.
 void request_flow::on_resume_failed() {
     const auto upstream = instance_of(this->current->choice);
     this->context.log.line(importance::keep, "attempt_failed")
@@ -236,8 +241,8 @@
     this->finish(error ? "upstream_error" : "ok", head.status);
 }
 
-// The upstream states that it has not run the request, so it may go to another one, whatever its
-// kind: a refusal counts as no run.
+// The upstream states that it has not executed the request, so it may go to another upstream even
+// if it may not be executed twice.
 void request_flow::on_upstream_refusal() {
     const upstream_choice choice = this->current->choice;
     auto* member = this->current_member();
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -11,7 +11,7 @@
         state.accepting = false;
         return shutdown_step::stop_accepting;
     }
-    // Also after the entry has resigned: a connection that was being read may bring a last request.
+    // Requests may still arrive after the entry has resigned, on connections that were being read.
     if (view.open_requests > 0 || view.unsent_bytes > 0) {
         return shutdown_step::wait;
     }
--- a/src/proxy/shutdown.h
+++ b/src/proxy/shutdown.h
@@ -7,25 +7,25 @@
 
 namespace camphorrail::proxy {
 
-// An entry's orderly end, from the signal to stop until the process may exit.
+// The graceful shutdown of an entry, from the stop signal until the process may exit.
 struct shutdown_state {
-    // When the signal came; nothing where none has.
+    // When the stop signal arrived; empty before.
     std::optional<base::instant> started_at;
-    // Callers' connections are still accepted and read.
+    // Client connections are still accepted and read.
     bool accepting = true;
-    // When the entry gave up what it does for the others.
+    // When the entry gave up its roles in the cluster, such as leadership.
     std::optional<base::instant> resigned_at;
 };
 
 struct shutdown_rules {
-    // The balancer asks once a second and takes an entry out after two misses; until then callers
-    // still arrive, and must be served.
+    // The load balancer polls once a second and removes an entry after two failed polls. Until then
+    // clients still arrive and must be served.
     base::micros balancer_detection_time = base::milliseconds(2800);
-    // What giving up the lead and writing the last log lines takes.
+    // Time allowed for giving up leadership and writing the last log lines.
     base::micros resign_time = base::milliseconds(150);
 };
 
-// What callers still wait for.
+// What clients still wait for.
 struct shutdown_view {
     base::instant now{};
     std::size_t open_requests = 0;
@@ -34,7 +34,7 @@
 
 enum class shutdown_step { wait, stop_accepting, resign, exit };
 
-// What is to be done now, and notes it as done. To be asked again until it says to wait.
+// Returns the next step and records it as done. Call it repeatedly until it returns `wait`.
 shutdown_step advance_shutdown(shutdown_state& state, const shutdown_view& view,
                                const shutdown_rules& rules);
 
--- a/src/proxy/stall_detection.cpp
+++ b/src/proxy/stall_detection.cpp
@@ -8,26 +8,29 @@
 
 using base::milliseconds;
 
-// A request that has had no answer for this many targets goes elsewhere, if it may. By then it is
-// late, and what it has waited for so long it may go on waiting for.
+// A request that has had no response for this many target latencies is moved to another upstream if
+// it may be. By then it is late, and work that has already waited this long may be worth waiting
+// for, so the limit is not lower.
 constexpr int request_stall_targets = 6;
 constexpr milliseconds min_request_stall{200};
-// An upstream that has sent nothing on any request for a quarter more than the target, while one
-// waits, is dead or cut off. A step of an engine takes 50 ms at most, with a piece of a long prompt
-// in it; the longest prompts alone on an engine take 200 ms to read.
+// The shortest time after which an upstream that has sent nothing on any request, while one waits,
+// counts as dead or cut off; otherwise the limit is a quarter more than the target. An engine's
+// step takes at most 50 ms, with a piece of a long prompt in it; the longest prompts alone on an
+// engine take 200 ms to read.
 constexpr milliseconds min_unresponsive_time{120};
-// A stream's first event may wait behind other prompts; a pause in mid-stream is held to the gap
-// target, and upstreams that preempt a stream read its prompt again.
+// A stream's first event may be queued behind other prompts, so only pauses within a stream are
+// measured against the gap target. Upstreams that preempt a stream process its prompt again.
 constexpr int stream_stall_gaps = 4;
 constexpr milliseconds min_stream_stall{800};
-// Timers fire this late on a loaded machine; later means that the process was stopped.
+// Timers may fire this late on a loaded machine; a longer delay means that the process was
+// suspended.
 constexpr milliseconds max_timer_delay{250};
 
 base::micros unresponsive_limit(const routes::route& route) {
     return std::max<base::micros>(route.target * 5 / 4, min_unresponsive_time);
 }
 
-// How long an upstream may say nothing on a request before the request goes elsewhere.
+// How long a request may make no progress before it is moved to another upstream.
 base::micros stall_limit(const routes::route& route, bool streaming) {
     return streaming ? std::max(route.gap_target * stream_stall_gaps, min_stream_stall)
                      : std::max(route.target * request_stall_targets, min_request_stall);
--- a/src/proxy/stall_detection.h
+++ b/src/proxy/stall_detection.h
@@ -5,34 +5,34 @@
 
 namespace camphorrail::proxy {
 
-// What an entry knows when it looks whether an upstream has fallen silent on a request.
+// Inputs for deciding whether a request or its upstream has stalled.
 struct stall_view {
     base::instant now;
-    // When it was to look.
+    // When this check was due.
     base::instant check_due;
-    // When the upstream last sent a byte, on whatever request and to whatever entry.
+    // When the upstream last sent a byte on any request.
     base::instant last_upstream_byte;
-    // When something last came of this request, or it was sent.
+    // When the request last made progress, or was sent.
     base::instant last_request_progress;
-    // Part of its answer has come.
+    // Part of the response has been received.
     bool streaming = false;
 };
 
 enum class stall {
-    // This process was stopped for a while and finds all its timers due at once, before it has read
-    // what came meanwhile. Taken for silence, that broke off every stream it had.
+    // This process was suspended, so all its timers are due at once before it has read what arrived
+    // meanwhile. When this was taken for a stall, every stream of the process was aborted.
     process_suspended,
-    // Slow perhaps, but within its time.
+    // The request may be slow but is within its limits.
     none,
-    // The request has waited for too long. The upstream still says something on others.
+    // The request has waited for too long, while the upstream still responds to others.
     request_stalled,
-    // Nothing at all comes from the upstream.
+    // The upstream sends nothing at all.
     upstream_unresponsive,
 };
 
 stall detect_stall(const stall_view& view, const routes::route& route);
 
-// How long after something was heard to look first, and then again.
+// How long after the last progress to check first, and how long until each further check.
 base::micros first_check_delay(const routes::route& route, bool streaming);
 base::micros next_check_delay(const stall_view& view, const routes::route& route);
 
--- a/src/proxy/stall_detection_tests.cpp
+++ b/src/proxy/stall_detection_tests.cpp
@@ -12,13 +12,13 @@
 
 } // namespace
 
-TEST_CASE("an upstream that says nothing is told from one that is slow", "[proxy]") {
+TEST_CASE("an unresponsive upstream is distinguished from a slow one", "[proxy]") {
     const routes::route route{.target = base::milliseconds(300),
                               .gap_target = base::milliseconds(250)};
     proxy::stall_view view{at(1000), at(1000), at(990), at(500), false};
     CHECK(proxy::detect_stall(view, route) == proxy::stall::none);
 
-    SECTION("by whether anything comes from it") {
+    SECTION("by whether it sends anything") {
         view.last_upstream_byte = at(600);
         CHECK(proxy::detect_stall(view, route) == proxy::stall::upstream_unresponsive);
     }
@@ -26,22 +26,22 @@
         view.last_request_progress = at(-800);
         CHECK(proxy::detect_stall(view, route) == proxy::stall::request_stalled);
     }
-    SECTION("and by the pause in the middle of its answer") {
+    SECTION("and by the pause within its response") {
         view.streaming = true;
         view.last_request_progress = at(100);
         CHECK(proxy::detect_stall(view, route) == proxy::stall::none);
         view.last_request_progress = at(-10);
         CHECK(proxy::detect_stall(view, route) == proxy::stall::request_stalled);
     }
-    // A VM is suspended for three seconds. When its entry goes on, the timers of all its streams
-    // are due, and what the engines sent meanwhile is not read yet.
-    SECTION("but not by a look that comes late itself") {
+    // A VM is suspended for three seconds. When its entry continues, the timers of all streams are
+    // due although the events that engines sent meanwhile have not been read yet.
+    SECTION("but not by a check that is itself late") {
         view.check_due = at(-2000);
         view.last_upstream_byte = at(-2000);
         view.last_request_progress = at(-2000);
         CHECK(proxy::detect_stall(view, route) == proxy::stall::process_suspended);
     }
-    SECTION("and looked at again before it has waited too long") {
+    SECTION("and the next check comes before the request has waited too long") {
         CHECK(proxy::first_check_delay(route, false) == base::milliseconds(375));
         view.last_request_progress = at(-700);
         CHECK(proxy::next_check_delay(view, route) == base::milliseconds(100));
--- a/src/proxy/stream_relay.cpp
+++ b/src/proxy/stream_relay.cpp
@@ -13,7 +13,7 @@
     return complete ? std::optional(number) : std::nullopt;
 }
 
-// An upstream that resumes may repeat the event it was asked to go on after.
+// An upstream that resumes may repeat the event it was asked to resume after.
 bool already_relayed(const stream_relay& state, std::string_view id) {
     const auto last = to_number(state.last_event_id);
     const auto next = to_number(id);
--- a/src/proxy/stream_relay.h
+++ b/src/proxy/stream_relay.h
@@ -9,22 +9,23 @@
 
 namespace camphorrail::proxy {
 
-// One answer made of events, as its caller sees it, from one upstream or several in turn. Only
-// whole events are passed on: an upstream may break off in the middle of one, and another then goes
-// on after the last whole one.
+// One event stream as its client sees it, from one upstream or several in turn. Only complete
+// events are forwarded: an upstream may break off in the middle of an event, and another then
+// resumes after the last complete one.
 struct stream_relay {
     stream::event_splitter splitter;
-    // The id of the last event that was passed on; empty before the first.
+    // The id of the last event that was forwarded; empty before the first.
     std::string last_event_id;
 };
 
-// The bytes to pass on now.
+// Adds received bytes and returns the complete events that are to be forwarded now.
 std::string relay_events(stream_relay& state, const std::string& bytes);
 
-// Another upstream goes on; what the one before has left of an event is dropped.
+// Prepares for another upstream to resume the stream: drops the partial event left by the previous
+// one.
 void resume_relay(stream_relay& state);
 
-// The value of an event's id line; empty where it has none.
+// Returns the value of an event's `id` field; empty if it has none.
 std::string_view event_id(std::string_view event);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/stream_relay_tests.cpp
+++ b/src/proxy/stream_relay_tests.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("a stream is passed on event by event", "[proxy]") {
+TEST_CASE("a stream is forwarded event by event", "[proxy]") {
     proxy::stream_relay state;
     CHECK(proxy::relay_events(state, "id: 1\nda").empty());
     CHECK(proxy::relay_events(state, "ta: a\n\nid: 2\n") == event(1, "a"));
@@ -20,9 +20,9 @@
     CHECK(proxy::relay_events(state, "data: b\n\n") == event(2, "b"));
 }
 
-// An engine crashes in the middle of an event. The caller must see neither the cut event nor any
-// event twice, and the stream of the engine that goes on must follow without a gap.
-TEST_CASE("a stream goes on at another engine without a seam", "[proxy]") {
+// An engine crashes in the middle of an event. The client must receive neither the partial event
+// nor any event twice, and the resumed stream must follow without a gap.
+TEST_CASE("a stream resumed at another engine has no gap and no repeated event", "[proxy]") {
     proxy::stream_relay state;
     std::string seen = proxy::relay_events(state, event(1, "a") + event(2, "b") + "id: 3\ndata: c");
     CHECK(state.last_event_id == "2");
@@ -31,7 +31,7 @@
     CHECK(seen == event(1, "a") + event(2, "b") + event(3, "c") + event(4, "d"));
 }
 
-TEST_CASE("an event's id is found among its lines", "[proxy]") {
+TEST_CASE("an event's id is read from its lines", "[proxy]") {
     CHECK(proxy::event_id("weight-versions: 3\nid: 17\r\ndata: id: 9\n\n") == "17");
     CHECK(proxy::event_id("data: x\n\n").empty());
 }
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-// From here on an answer made on outdated weights is worth less to its caller.
+// Weights that have been outdated for longer than this make a response worth less to its client.
 constexpr base::milliseconds outdated_grace{1300};
-// A request may wait at an overloaded engine for as long as its caller does, two seconds. One that
-// would begin on weights that are outdated for too long by then is not sent there.
+// Subtracted from the allowed age of weights at an overloaded engine, where a request may wait for
+// up to two seconds, as long as its client does. A request that would begin there on weights
+// outdated for too long is not sent.
 constexpr base::milliseconds max_overload_wait{1100};
 constexpr double high_load_share = 0.5;
 
-// A call that is cancelled reaches the upstream a hop later, and the timer for it waits for the
-// loop's turn to end.
+// A cancellation reaches the upstream one network hop later, and its timer waits for the current
+// turn of the event loop to end, so the deadline is set earlier by this much.
 constexpr base::milliseconds cancel_margin{400};
 
 std::vector<const fleet::member*> pool_members(const fleet::fleet& state,
@@ -38,8 +39,8 @@
     return found == state.latency.end() ? untrained : found->second;
 }
 
-// What a placement takes of the stores' links: a fetch of the shared part, where the engine lacks
-// it, and a save of all.
+// The transfer time that a placement uses on the stores' links: fetching the shared part of the
+// prompt if the engine lacks it, and saving the whole prompt.
 std::vector<std::pair<std::string, double>> store_transfers(const routes::operators_config& config,
                                                             const routes::pool& pool,
                                                             const kvcache::placement& placement,
@@ -60,7 +61,7 @@
     return found;
 }
 
-// Whether the prompts under way fill so much of an engine's memory that new ones may have to wait.
+// Whether the prompts in flight fill so much of an engine's memory that new ones may have to wait.
 bool may_wait_long(const entry_context& context, const fleet::member& member) {
     const auto& pools = context.state.config->pools;
     const auto pool = pools.find(member.listed.pool);
@@ -69,9 +70,9 @@
     return static_cast<double>(work.held_tokens) > high_load_share * static_cast<double>(room);
 }
 
-// Since when weights can have been outdated: since newer ones were named, or else since the last
-// proof that none were. An entry that has lost the store, or stood still, does not know of newer
-// ones, and goes on with the requests that it has.
+// The time since which weights may have been outdated: when newer ones were named, or else when it
+// was last proved that there were none. An entry that has lost the store, or was suspended, does
+// not know of newer ones while it continues with its requests.
 std::optional<base::instant> possibly_outdated_since(const entry_context& context,
                                                      const base::model_id& model,
                                                      std::int64_t weights) {
@@ -79,10 +80,10 @@
     return since > context.now() ? context.state.store.proved_at : std::optional(since);
 }
 
-// The members that hold the model, without those whose weights are outdated for too long. Weights
-// do not decide where a prompt goes beyond that: while upstreams change them one after the other,
-// each prompt stays at its home and is read anew there once, instead of moving to the few upstreams
-// that have changed already.
+// The members that hold the model, without those whose weights are outdated for too long. Otherwise
+// weights do not affect placement: while upstreams change weights one after another, each prompt
+// stays at its home and is processed again there once, instead of moving to the few upstreams that
+// have already changed.
 std::vector<kvcache::candidate> prompt_candidates(const entry_context& context,
                                                   const std::vector<fleet::member*>& all,
                                                   const base::model_id& model) {
@@ -111,8 +112,8 @@
     return *member;
 }
 
-// What a crash of an engine would cost: another suspect is being tried there, so that it would not
-// be clear which of them did it; calls that may not run twice; other calls.
+// What a crash of an engine would cost, in order of weight: another suspect on trial there, so that
+// the cause of the crash would be unclear; requests that may not be executed twice; other requests.
 struct crash_cost {
     bool has_trial = false;
     std::int64_t unrepeatable = 0;
@@ -129,8 +130,8 @@
     return {has_trial, work.unrepeatable, work.in_flight};
 }
 
-// Keeps the third of the candidates at which a crash would cost the least. Not the one alone: all
-// entries would choose the same for all suspects.
+// Keeps the third of the candidates at which a crash would cost the least. Keeping only the best
+// would make all entries send all suspects to the same upstream.
 template <class Candidate>
 void keep_safest(const entry_context& context, std::vector<Candidate>& among) {
     const base::instant now = context.now();
@@ -150,8 +151,8 @@
     }
 }
 
-// An answer that goes on once may not do so again, so it keeps off the engines that are to change
-// weights next.
+// A response that has been resumed may not be resumed again, so it avoids engines that are about to
+// change weights.
 void prefer_newest(std::vector<kvcache::candidate>& candidates) {
     const bool any_current = std::any_of(candidates.begin(), candidates.end(),
                                          [](const auto& candidate) { return !candidate.outdated; });
@@ -269,7 +270,8 @@
 
 base::milliseconds estimate_retry_after(const entry_context& context, const base::pool_id& pool) {
     constexpr base::milliseconds default_wait{250};
-    // Callers come back once or twice at most; an upstream in change takes at least this long.
+    // Clients retry once or twice at most, and an upstream that changes weights takes at least this
+    // long.
     constexpr base::milliseconds min_wait{150};
     const base::instant now = context.now();
     std::optional<base::milliseconds> shortest_wait;
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// Upstreams are under a few milliseconds away; a lost first packet is sent again after a second,
-// which is too late for most calls, while another connection may well get through at once.
+// Upstreams are less than a few milliseconds away. TCP retransmits a lost SYN after one second, too
+// late for most requests, while a new connection may succeed at once.
 constexpr base::milliseconds connect_timeout{250};
-// A standing connection can fall silent for good while new ones work. Both spans are well below the
-// seconds that callers wait, and far above any round trip.
+// An established connection can go dead while new ones work. Both times are well below the seconds
+// that clients wait, and far above any round trip.
 constexpr adapters::silence_limits upstream_keepalive{base::milliseconds(1500), base::seconds(1),
                                                       2};
 constexpr http::read_limits response_limits{64U << 10U, 64U << 20U};
@@ -98,7 +98,7 @@
 void upstream_connection::read_response() {
     evbuffer* input = bufferevent_get_input(this->socket);
     if (!this->busy) {
-        // Bytes that nobody asked for: the next call would take them for its answer.
+        // Unsolicited bytes: the next request would take them for its response.
         this->release();
         if (this->on_idle_closed) {
             this->on_idle_closed();
@@ -141,7 +141,7 @@
     }
     if (this->reader.has_head() && !this->head_delivered) {
         this->head_delivered = true;
-        // Copied, since the handler may cancel the call and so drop the handlers.
+        // Copied because the handler may cancel the request, which destroys the handlers.
         const auto on_head = this->handlers.on_head;
         this->dropping_response = !on_head(this->reader.head());
     }
@@ -166,8 +166,8 @@
         return;
     }
     this->busy = false;
-    // An upstream may answer before it has read the whole call; what it then reads as the next call
-    // would be the rest of this one.
+    // An upstream may respond before it has read the whole request. It would then read the rest of
+    // this request as the next one.
     const bool all_sent =
         this->socket != nullptr && evbuffer_get_length(bufferevent_get_output(this->socket)) == 0;
     const bool no_extra_input =
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -13,31 +13,33 @@
 
 namespace camphorrail::proxy {
 
-// Why a call on a connection gave no whole answer.
+// Why a request on a connection got no complete response.
 enum class call_failure {
-    // No byte of it has left: it can't have run.
+    // No byte of the request was sent, so it cannot have been executed.
     never_sent,
-    // The same, and not for a fault of the upstream: it was taken back before it left.
+    // As `never_sent`, but through no fault of the upstream: the request was withdrawn before it
+    // was sent.
     withdrawn,
-    // The connection broke or fell silent.
+    // The connection broke or stopped responding.
     broken,
-    // What came back was no answer to it.
+    // The bytes received are not a valid response.
     malformed,
 };
 
-// How the answer to one call arrives. After `failed` or `ended` nothing more comes.
+// Callbacks for the response to one request. Nothing is called after `on_failure` or `on_end`.
 struct call_handlers {
-    // False when the head is no answer to this call, but one that comes late to an earlier call: it
-    // is read to its end and dropped, and the next answer awaited.
+    // Returns false if the response belongs to an earlier request and came late. It is then read to
+    // its end and dropped, and the next response is awaited.
     std::function<bool(const http::response_head&)> on_head;
     std::function<void(std::string bytes)> on_body;
     std::function<void()> on_end;
     std::function<void(call_failure)> on_failure;
-    // Asked when a new connection stands, before the first byte leaves: false takes the call back.
+    // Called when a new connection is established, before the first byte is sent; false withdraws
+    // the request.
     std::function<bool()> still_wanted;
 };
 
-// One connection to an upstream; one call at a time.
+// A connection to an upstream that handles one request at a time.
 class upstream_connection : public std::enable_shared_from_this<upstream_connection> {
 public:
     upstream_connection(event_base* base, std::string address);
@@ -45,20 +47,20 @@
     upstream_connection(const upstream_connection&) = delete;
     upstream_connection& operator=(const upstream_connection&) = delete;
 
-    // Sends a call; connects first where the connection does not stand yet.
+    // Sends a request, connecting first if necessary.
     void call(std::string bytes, call_handlers handlers);
-    // Ends the call under way and the connection with it: most upstreams then stop the work.
+    // Aborts the current request by closing the connection; most upstreams then stop working on it.
     void cancel();
     void pause_reading();
     void resume_reading();
 
-    // Whether it can take a further call: it stands, the last answer was whole, and nothing has
-    // come since.
+    // Whether the connection can carry another request: it is established, the last response was
+    // complete, and no bytes have followed it.
     [[nodiscard]] bool reusable() const { return this->is_reusable; }
-    // Whether a byte of the call under way may have left.
+    // Whether a byte of the current request may have been sent.
     [[nodiscard]] bool may_have_sent() const { return this->sent; }
 
-    // Told when an idle connection closes or an upstream sends on it unasked.
+    // Called when an idle connection closes or the upstream sends on it unasked.
     std::function<void()> on_idle_closed;
 
 private:
--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -10,13 +10,13 @@
     return one.incarnation != base::upstream_incarnation{};
 }
 
-// An entry of the list, and the store's revision at which it was last written.
+// A record of the list, and the store's revision at which it was last written.
 struct list_entry {
     ports::listed_upstream upstream;
     std::int64_t revision = 0;
 };
 
-// Leaves out the entries that no upstream has written.
+// Removes the records that were not written by an upstream.
 void remove_foreign_entries(std::vector<list_entry>& entries, upstream_list& list) {
     const auto with_incarnation = static_cast<std::size_t>(
         std::count_if(entries.begin(), entries.end(),
@@ -32,8 +32,8 @@
     std::erase_if(entries, [](const auto& each) { return !has_incarnation(each.upstream); });
 }
 
-// A process that has ended writes nothing any more, so the entry that was written last is the one
-// that has the address now.
+// A process that has ended writes nothing, so of all records with the same address the one written
+// last belongs to the process that has the address now.
 void remove_replaced_entries(std::vector<list_entry>& entries, upstream_list& list) {
     std::map<std::string, const list_entry*> holders;
     for (const auto& each : entries) {
--- a/src/proxy/upstream_list.h
+++ b/src/proxy/upstream_list.h
@@ -9,19 +9,19 @@
 
 namespace camphorrail::proxy {
 
-// The upstreams that the platform's store lists.
+// The upstreams listed in the platform's store.
 struct upstream_list {
     std::vector<ports::listed_upstream> upstreams;
-    // Entries that no upstream has written, by the id that they stand under, with the revision of
+    // Records that cannot be read as an upstream's, by the id in their key, with the revision of
     // the store at which they were written.
     std::map<base::upstream_id, std::int64_t> unreadable;
-    // Upstreams whose address another one has taken since, by the id of that one. They have ended
-    // without a word, and stand in the list until their entries lapse.
+    // Upstreams whose address another upstream has taken over since, with the id of that upstream.
+    // They have ended without deregistering and stay listed until their records expire.
     std::map<base::upstream_id, base::upstream_id> replaced;
 };
 
-// Reads the list from what is known of the store. Where most upstreams say when they started, an
-// entry that does not is held to be another writer's.
+// Reads the list from the local copy of the store. If most records state an incarnation, one
+// without it is taken to be written by another program.
 upstream_list read_upstream_list(const mirror::store_mirror& store,
                                  const ports::platform_codec& codec);
 
--- a/src/proxy/upstream_list_tests.cpp
+++ b/src/proxy/upstream_list_tests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// `NAME` stands for the part of the address that is the engine's own.
+// `NAME` is replaced by the address of the engine.
 std::string entry(const std::string& born, const std::string& address = "NAME") {
     return R"({"service":"pool","address":")" + address +
            R"(","zone":"a","version":"v1","slots":8,"state":"ready","coldLeftMs":0,"seq":1)" +
@@ -20,7 +20,7 @@
     mirror::store_mirror store;
     std::int64_t revision = 0;
 
-    // Each engine has an address of its own, but for those that the test gives one.
+    // Gives each engine an address of its own unless the test sets one.
     void put(const std::string& id, std::string value) {
         const std::string key = this->codec.upstreams_prefix + id;
         if (const auto at = value.find("NAME"); at != std::string::npos) {
@@ -35,9 +35,10 @@
 
 } // namespace
 
-// Another program writes over an engine's entry, and below the engines' prefix. The others hold,
-// and the entry that was written over names no engine until the engine writes it again.
-TEST_CASE("an entry that can't be read leaves the others as they are", "[proxy]") {
+// Another program overwrites an engine's record and writes a record of its own below the engines'
+// prefix. The other records must stay valid, and the overwritten one names no engine until its
+// engine writes it again.
+TEST_CASE("an unreadable record does not affect the others", "[proxy]") {
     listed_store listed;
     listed.put("i-1", entry("17"));
     listed.put("i-2", entry("18"));
@@ -55,9 +56,9 @@
     }
 }
 
-// Engines that say when they started always do. An entry in between that doesn't is no engine's; on
-// a platform whose engines never say it, all of them count.
-TEST_CASE("an entry without a start counts only where most have none", "[proxy]") {
+// Engines that report their start time always do, so a record without one among them was not
+// written by an engine. On a platform whose engines never report it, all records count.
+TEST_CASE("a record without a start time counts only if most have none", "[proxy]") {
     listed_store listed;
     listed.put("i-1", entry(""));
     listed.put("i-2", entry(""));
@@ -70,10 +71,10 @@
     CHECK(list.unreadable.count({"i-2"}) == 1);
 }
 
-// Engines crash, and others start at their addresses a second later; the entries of the first stand
-// in the list for three heartbeats more. Each of a hundred callers' requests that still went to the
-// old names was turned away by the new engine, and some came back refused.
-TEST_CASE("an upstream whose address another one has taken is left at once", "[proxy]") {
+// Engines crash and others start at their addresses a second later, while the old records stay
+// listed for three more heartbeats. Requests still sent to the old ids were rejected by the new
+// engines, and some were refused to the client.
+TEST_CASE("an upstream whose address another one has taken is dropped at once", "[proxy]") {
     listed_store listed;
     listed.put("i-1", entry("17", "10.0.0.1:8080"));
     listed.put("i-2", entry("18", "10.0.0.2:8080"));
@@ -83,14 +84,14 @@
     REQUIRE(list.upstreams.size() == 2);
     CHECK(list.replaced.at({"i-1"}) == base::upstream_id{"i-9"});
 
-    SECTION("whichever name sorts first") {
+    SECTION("whichever id sorts first") {
         listed.put("i-0", entry("20", "10.0.0.1:8080"));
         const auto later = listed.read();
         CHECK(later.upstreams.size() == 2);
         CHECK(later.replaced.size() == 2);
         CHECK(later.replaced.at({"i-9"}) == base::upstream_id{"i-0"});
     }
-    SECTION("and gets nothing, also where no other is left") {
+    SECTION("and gets no requests, even if no other upstream is left") {
         fleet::fleet state;
         const base::instant now{base::seconds(100)};
         listed.store.items.erase(listed.codec.upstreams_prefix + "i-2");
--- a/src/proxy/upstream_signals_tests.cpp
+++ b/src/proxy/upstream_signals_tests.cpp
@@ -30,8 +30,8 @@
     return reply(got, 503, "Not-Executed: 1\r\nRetry-After: 4\r\n");
 }
 
-// Sends a request every 100 ms of the entry's clock, or slower where the machine is slow, until the
-// clock stands there; gives the status of each.
+// Sends a request every 100 ms of the entry's clock, or less often on a slow machine, until the
+// clock reaches the end; returns the status of each.
 std::vector<int> call_until(tests::proxy_world& world, base::instant end, const std::string& name) {
     constexpr milliseconds pause{100};
     std::vector<int> statuses;
@@ -54,18 +54,20 @@
                        [wanted](int each) { return each == wanted; });
 }
 
-// After this long an upstream that leaves gets nothing more.
+// After this time a draining upstream must receive no more requests.
 constexpr milliseconds drain{2000};
 
 } // namespace
 
-// The failure: the platform's store is away, and requests go on reaching an upstream that has said
-// in its answers that it leaves, until it is gone with them.
-TEST_CASE("an upstream that says in an answer that it leaves gets nothing more", "[proxy][words]") {
+// Guards against requests that reach an upstream which has announced in its responses that it is
+// draining, until it is gone and they are lost. The platform's store, which would list the drain,
+// is unavailable.
+TEST_CASE("an upstream that announces its drain in a response gets no more requests",
+          "[proxy][words]") {
     tests::proxy_world world;
     auto& leaving = world.add_engine("i-1", echo);
     auto& staying = world.add_engine("i-2", echo);
-    // By load alone, each request would go to the one that leaves.
+    // By load alone, each request would go to the draining upstream.
     world.state.fleet.members.at({"i-2"}).local_work.in_flight = 3;
     const auto answer =
         GENERATE(as<std::string>{}, "a success", "a refusal", "an error", "the head of a stream");
@@ -103,7 +105,7 @@
     CHECK(all_are(statuses, 200));
     CHECK_FALSE(staying.requests.empty());
 
-    SECTION("also when the list calls it ready again, or lists it anew after it lapsed") {
+    SECTION("also if the list shows it as ready again, or lists it anew after it expired") {
         auto listed = world.state.fleet.members.at({"i-1"}).listed;
         const auto other = world.state.fleet.members.at({"i-2"}).listed;
         fleet::apply_list(world.state.fleet, {listed, other}, world.entry().now());
@@ -117,14 +119,14 @@
         call_for(world, milliseconds(500), "listed");
         CHECK(leaving.requests.size() == before);
     }
-    SECTION("and other entries hear of it, once") {
+    SECTION("and other entries are notified once") {
         REQUIRE(world.told.size() == 1);
         const auto heard = peering::decode(peering::encode({world.told.at(0)}));
         REQUIRE(heard.has_value());
         CHECK(std::get<peering::upstream_draining>(heard.value().payload).upstream.id.value ==
               "i-1");
     }
-    SECTION("until it starts again") {
+    SECTION("until it restarts") {
         auto& one = world.state.fleet.members.at({"i-1"});
         one.listed.incarnation = {5};
         fleet::start_incarnation(one, {6});
@@ -134,9 +136,9 @@
     }
 }
 
-// The failure: an address is another engine's by now, whose word is taken for that of the one that
-// had it before.
-TEST_CASE("the word of another engine at the address says nothing of the one that was meant",
+// Guards against taking a signal from another engine that now has the address for one from the
+// engine that had it before.
+TEST_CASE("a signal from another engine at the same address does not apply to the intended one",
           "[proxy][words]") {
     tests::proxy_world world;
     auto& engine = world.add_engine(
@@ -146,9 +148,9 @@
     CHECK_FALSE(world.state.fleet.members.at({"i-1"}).drain_reported_at);
 }
 
-// The failure: all upstreams of a pool say that they leave, and requests are sent to them as long
-// as the list has them.
-TEST_CASE("requests to a pool of which all say that they leave are refused at once",
+// Guards against requests that are sent to draining upstreams for as long as they are listed
+// because no other is left in the pool.
+TEST_CASE("requests to a pool whose upstreams are all draining are refused at once",
           "[proxy][words]") {
     tests::proxy_world world;
     auto& first = world.add_engine("i-1", reply_leaving);
@@ -160,9 +162,9 @@
     CHECK(all_are(statuses, 503));
 }
 
-// The failure: an upstream that asked for a pause is asked again after some milliseconds, over and
-// over.
-TEST_CASE("an upstream that asks for a pause gets it", "[proxy][words]") {
+// Guards against sending to an upstream again after some milliseconds, over and over, although it
+// has asked for a pause.
+TEST_CASE("an upstream that asks for a pause gets no requests during it", "[proxy][words]") {
     tests::proxy_world world;
     auto& asking = world.add_engine("i-1", reply_with_pause);
 
@@ -177,7 +179,7 @@
         call_until(world, asked + milliseconds(8000), "after");
         CHECK(asking.requests.size() > 3);
     }
-    SECTION("also where there is no other, and callers learn when it is over") {
+    SECTION("also if there is no other, and clients are told when it ends") {
         const base::instant asked = world.entry().now();
         const auto seen = world.call(tests::request("safe", "first", "body"));
         CHECK(seen.heads.at(0).status == 503);
