--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -249,24 +249,24 @@
         }
         for (int entry = 1; entry < entries; ++entry) {
             report.from = {"entry-" + std::to_string(entry)};
-            quota::take_report(known, report, now, rules);
+            quota::apply_report(known, report, now, rules);
         }
         print("decision by a quota", label,
               microseconds_each(20000,
                                 [&](int round) {
                                     const auto number = static_cast<std::uint64_t>(round);
-                                    (void)quota::take(known, limited[number % teams].id, {1},
-                                                      base::combine_hashes(number, 1), now, rules);
+                                    (void)quota::admit(known, limited[number % teams].id, {1},
+                                                       base::combine_hashes(number, 1), now, rules);
                                 }),
               "us");
         report.counts.resize(4);
         print("taking four counts of an entry", label,
               microseconds_each(
-                  20000, [&](int /*round*/) { quota::take_report(known, report, now, rules); }),
+                  20000, [&](int /*round*/) { quota::apply_report(known, report, now, rules); }),
               "us");
     }
     print("count of one team of one entry, held", "one",
-          static_cast<double>(sizeof(quota::told_count)), "bytes");
+          static_cast<double>(sizeof(quota::remote_count)), "bytes");
     peering::entry_load told;
     const auto bare = peering::encode({peering::load_report{{told}}}).size();
     told.usage = {{{"team-17"}, 1796236207773000, base::seconds(100), {123456789}, {234567890}}};
--- a/src/admission/queue.cpp
+++ b/src/admission/queue.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-constexpr double smallest_share = 1e-3;
+constexpr double min_share = 1e-3;
 
-double served_of(const order_queue& queue, const base::team_id& team) {
-    const auto found = queue.served.find(team);
-    return found == queue.served.end() ? 0.0 : found->second;
+double served_work_of(const request_queue& queue, const base::team_id& team) {
+    const auto found = queue.served_work.find(team);
+    return found == queue.served_work.end() ? 0.0 : found->second;
 }
 
-bool goes_before(const order_queue& queue, const waiting_order& left, const waiting_order& right) {
+bool precedes(const request_queue& queue, const queued_request& left, const queued_request& right) {
     if (left.priority != right.priority) {
         return left.priority > right.priority;
     }
-    const double left_served = served_of(queue, left.team);
-    const double right_served = served_of(queue, right.team);
+    const double left_served = served_work_of(queue, left.team);
+    const double right_served = served_work_of(queue, right.team);
     if (left_served != right_served) {
         return left_served < right_served;
     }
@@ -28,98 +28,99 @@
 
 // The least that any waiting team has had. A team that was quiet starts from here: otherwise it
 // would be owed all the time it did not use, and shut the others out until that was paid back.
-double floor_of(const order_queue& queue) {
+double min_served_work(const request_queue& queue) {
     double least = std::numeric_limits<double>::infinity();
-    for (const waiting_order& order : queue.orders) {
-        least = std::min(least, served_of(queue, order.team));
+    for (const queued_request& request : queue.requests) {
+        least = std::min(least, served_work_of(queue, request.team));
     }
-    return queue.orders.empty() ? 0.0 : least;
+    return queue.requests.empty() ? 0.0 : least;
 }
 
-bool team_waits(const order_queue& queue, const base::team_id& team) {
-    return std::any_of(queue.orders.begin(), queue.orders.end(),
-                       [&team](const waiting_order& order) { return order.team == team; });
+bool has_queued(const request_queue& queue, const base::team_id& team) {
+    return std::any_of(queue.requests.begin(), queue.requests.end(),
+                       [&team](const queued_request& request) { return request.team == team; });
 }
 
 } // namespace
 
-base::micros predicted_wait(const order_queue& queue, int priority, base::micros engine_wait) {
+base::micros predicted_wait(const request_queue& queue, int priority, base::micros engine_wait) {
     base::micros wait = engine_wait;
-    for (const waiting_order& order : queue.orders) {
-        if (order.priority >= priority) {
-            wait += order.work;
+    for (const queued_request& request : queue.requests) {
+        if (request.priority >= priority) {
+            wait += request.work;
         }
     }
     return wait;
 }
 
-base::result<void> admit(const order_queue& queue, const waiting_order& order,
+base::result<void> admit(const request_queue& queue, const queued_request& request,
                          base::micros engine_wait, base::instant now,
                          const admission_rules& rules) {
-    if (order.priority < rules.lowest_priority) {
+    if (request.priority < rules.lowest_priority) {
         return base::code::team_over_share;
     }
-    if (queue.orders.size() >= queue.capacity) {
+    if (queue.requests.size() >= queue.capacity) {
         return base::code::overloaded;
     }
-    const base::micros wait = predicted_wait(queue, order.priority, engine_wait) + order.work;
-    const double allowed = static_cast<double>((order.target - now).count()) * rules.wait_to_target;
-    if (static_cast<double>(wait.count()) > allowed || now + wait > order.deadline) {
+    const base::micros wait = predicted_wait(queue, request.priority, engine_wait) + request.work;
+    const double allowed =
+        static_cast<double>((request.target - now).count()) * rules.wait_to_target;
+    if (static_cast<double>(wait.count()) > allowed || now + wait > request.deadline) {
         return base::code::target_out_of_reach;
     }
     return boost::outcome_v2::success();
 }
 
-void push(order_queue& queue, waiting_order order) {
-    if (!team_waits(queue, order.team)) {
-        double& served = queue.served[order.team];
-        served = std::max(served, floor_of(queue));
+void push(request_queue& queue, queued_request request) {
+    if (!has_queued(queue, request.team)) {
+        double& team_work = queue.served_work[request.team];
+        team_work = std::max(team_work, min_served_work(queue));
     }
-    queue.orders.push_back(std::move(order));
+    queue.requests.push_back(std::move(request));
 }
 
-std::optional<waiting_order> pop(order_queue& queue) {
+std::optional<queued_request> pop(request_queue& queue) {
     const auto next = std::min_element(
-        queue.orders.begin(), queue.orders.end(),
-        [&queue](const auto& left, const auto& right) { return goes_before(queue, left, right); });
-    if (next == queue.orders.end()) {
+        queue.requests.begin(), queue.requests.end(),
+        [&queue](const auto& left, const auto& right) { return precedes(queue, left, right); });
+    if (next == queue.requests.end()) {
         return std::nullopt;
     }
-    waiting_order order = std::move(*next);
-    queue.orders.erase(next);
-    queue.served[order.team] +=
-        static_cast<double>(order.work.count()) / std::max(order.share, smallest_share);
-    if (queue.orders.empty()) {
-        queue.served.clear();
+    queued_request request = std::move(*next);
+    queue.requests.erase(next);
+    queue.served_work[request.team] +=
+        static_cast<double>(request.work.count()) / std::max(request.share, min_share);
+    if (queue.requests.empty()) {
+        queue.served_work.clear();
     }
-    return order;
+    return request;
 }
 
-std::vector<waiting_order> take_expired(order_queue& queue, base::instant now) {
-    std::vector<waiting_order> expired;
-    auto keep = queue.orders.begin();
-    for (waiting_order& order : queue.orders) {
-        if (order.deadline <= now) {
-            expired.push_back(std::move(order));
+std::vector<queued_request> remove_expired(request_queue& queue, base::instant now) {
+    std::vector<queued_request> expired;
+    auto kept_end = queue.requests.begin();
+    for (queued_request& request : queue.requests) {
+        if (request.deadline <= now) {
+            expired.push_back(std::move(request));
         } else {
-            if (&*keep != &order) {
-                *keep = std::move(order);
+            if (&*kept_end != &request) {
+                *kept_end = std::move(request);
             }
-            ++keep;
+            ++kept_end;
         }
     }
-    queue.orders.erase(keep, queue.orders.end());
+    queue.requests.erase(kept_end, queue.requests.end());
     return expired;
 }
 
-bool remove(order_queue& queue, const base::attempt_id& attempt) {
+bool remove(request_queue& queue, const base::attempt_id& attempt) {
     const auto found =
-        std::find_if(queue.orders.begin(), queue.orders.end(),
-                     [&attempt](const auto& order) { return order.attempt == attempt; });
-    if (found == queue.orders.end()) {
+        std::find_if(queue.requests.begin(), queue.requests.end(),
+                     [&attempt](const auto& request) { return request.attempt == attempt; });
+    if (found == queue.requests.end()) {
         return false;
     }
-    queue.orders.erase(found);
+    queue.requests.erase(found);
     return true;
 }
 
--- a/src/admission/queue.h
+++ b/src/admission/queue.h
@@ -12,7 +12,7 @@
 namespace camphorrail::admission {
 
 // One order that waits at an agent.
-struct waiting_order {
+struct queued_request {
     base::attempt_id attempt;
     base::team_id team;
     int priority = 0;
@@ -27,10 +27,10 @@
 // Orders waiting at one agent. Higher priorities go first; within one, the team that has had least
 // for its share; within a team, the earliest target. Since every entry's orders meet here, shares
 // hold over all entries without a message between them.
-struct order_queue {
-    std::vector<waiting_order> orders;
+struct request_queue {
+    std::vector<queued_request> requests;
     // Work given to each team so far, divided by its share.
-    std::unordered_map<base::team_id, double> served;
+    std::unordered_map<base::team_id, double> served_work;
     std::size_t capacity = 64;
 };
 
@@ -41,22 +41,22 @@
 };
 
 // Predicted wait of a new order: all work that would go before it, over what the engine has left.
-base::micros predicted_wait(const order_queue& queue, int priority, base::micros engine_wait);
+base::micros predicted_wait(const request_queue& queue, int priority, base::micros engine_wait);
 
 // Whether an order should be taken. The refusal comes at once, while the caller can still go
 // elsewhere; an order that can't meet its target would only take time from those that can.
-base::result<void> admit(const order_queue& queue, const waiting_order& order,
+base::result<void> admit(const request_queue& queue, const queued_request& request,
                          base::micros engine_wait, base::instant now, const admission_rules& rules);
 
-void push(order_queue& queue, waiting_order order);
+void push(request_queue& queue, queued_request request);
 
 // The order to run next.
-std::optional<waiting_order> pop(order_queue& queue);
+std::optional<queued_request> pop(request_queue& queue);
 
 // Takes out all orders whose deadline has passed.
-std::vector<waiting_order> take_expired(order_queue& queue, base::instant now);
+std::vector<queued_request> remove_expired(request_queue& queue, base::instant now);
 
 // Takes out one order; false when it is not there.
-bool remove(order_queue& queue, const base::attempt_id& attempt);
+bool remove(request_queue& queue, const base::attempt_id& attempt);
 
 } // namespace camphorrail::admission
--- a/src/admission/queue_tests.cpp
+++ b/src/admission/queue_tests.cpp
@@ -11,8 +11,8 @@
 
 const base::instant start{base::seconds(10)};
 
-admission::waiting_order order_of(const std::string& team, int number, int priority = 5,
-                                  double share = 1.0) {
+admission::queued_request request_of(const std::string& team, int number, int priority = 5,
+                                     double share = 1.0) {
     return {{team + std::to_string(number)},
             {team},
             priority,
@@ -25,13 +25,13 @@
 } // namespace
 
 TEST_CASE("the queue at an agent", "[admission]") {
-    admission::order_queue queue;
+    admission::request_queue queue;
     queue.capacity = 1000;
 
     SECTION("gives higher priorities first, and earlier targets within a team") {
-        admission::push(queue, order_of("quay", 2));
-        admission::push(queue, order_of("quay", 1));
-        admission::push(queue, order_of("pier", 9, 9));
+        admission::push(queue, request_of("quay", 2));
+        admission::push(queue, request_of("quay", 1));
+        admission::push(queue, request_of("pier", 9, 9));
         CHECK(admission::pop(queue)->attempt.value == "pier9");
         CHECK(admission::pop(queue)->attempt.value == "quay1");
     }
@@ -40,8 +40,8 @@
     // the small team's callers would wait behind all of the large one's.
     SECTION("divides the engine by shares while both teams wait") {
         for (int number = 0; number < 300; ++number) {
-            admission::push(queue, order_of("large", number, 5, 1.0));
-            admission::push(queue, order_of("small", number, 5, 2.0));
+            admission::push(queue, request_of("large", number, 5, 1.0));
+            admission::push(queue, request_of("small", number, 5, 2.0));
         }
         std::map<std::string, int> given;
         for (int turn = 0; turn < 300; ++turn) {
@@ -53,13 +53,13 @@
 
     SECTION("owes a team nothing for the time it was quiet") {
         for (int number = 0; number < 100; ++number) {
-            admission::push(queue, order_of("busy", number));
+            admission::push(queue, request_of("busy", number));
             if (number >= 50) {
                 admission::pop(queue);
             }
         }
         for (int number = 0; number < 20; ++number) {
-            admission::push(queue, order_of("quiet", number));
+            admission::push(queue, request_of("quiet", number));
         }
         int quiet = 0;
         for (int turn = 0; turn < 20; ++turn) {
@@ -69,30 +69,33 @@
     }
 
     SECTION("refuses at once what can't meet its target, and what is below the preset's priority") {
-        CHECK(admission::admit(queue, order_of("quay", 0), base::micros{0}, start, {}).has_value());
-        const auto late = admission::admit(queue, order_of("quay", 0), base::seconds(1), start, {});
+        CHECK(
+            admission::admit(queue, request_of("quay", 0), base::micros{0}, start, {}).has_value());
+        const auto late =
+            admission::admit(queue, request_of("quay", 0), base::seconds(1), start, {});
         CHECK(base::to_code(late.error()) == base::code::target_out_of_reach);
         const auto low =
-            admission::admit(queue, order_of("quay", 0), base::micros{0}, start, {1, 6});
+            admission::admit(queue, request_of("quay", 0), base::micros{0}, start, {1, 6});
         CHECK(base::to_code(low.error()) == base::code::team_over_share);
         queue.capacity = 0;
-        const auto full = admission::admit(queue, order_of("quay", 0), base::micros{0}, start, {});
+        const auto full =
+            admission::admit(queue, request_of("quay", 0), base::micros{0}, start, {});
         CHECK(base::to_code(full.error()) == base::code::overloaded);
     }
 
     SECTION("does not count lower priorities into a higher one's wait") {
-        admission::push(queue, order_of("quay", 0, 1));
+        admission::push(queue, request_of("quay", 0, 1));
         CHECK(admission::predicted_wait(queue, 9, base::micros{0}) == base::micros{0});
         CHECK(admission::predicted_wait(queue, 1, base::micros{0}) == base::milliseconds(100));
     }
 
     SECTION("gives up what has expired and what was cancelled") {
-        admission::push(queue, order_of("quay", 1));
-        admission::push(queue, order_of("quay", 2));
+        admission::push(queue, request_of("quay", 1));
+        admission::push(queue, request_of("quay", 2));
         CHECK(admission::remove(queue, {"quay1"}));
         CHECK_FALSE(admission::remove(queue, {"quay1"}));
-        CHECK(admission::take_expired(queue, start).empty());
-        CHECK(admission::take_expired(queue, start + base::seconds(30)).size() == 1);
+        CHECK(admission::remove_expired(queue, start).empty());
+        CHECK(admission::remove_expired(queue, start + base::seconds(30)).size() == 1);
         CHECK_FALSE(admission::pop(queue));
     }
 }
--- a/src/admission/retry_budget.cpp
+++ b/src/admission/retry_budget.cpp
@@ -2,7 +2,7 @@
 
 namespace camphorrail::admission {
 
-bool take_retry(retry_budget& budget) {
+bool consume_retry(retry_budget& budget) {
     if (budget.tokens < 1.0) {
         return false;
     }
--- a/src/admission/retry_budget_tests.cpp
+++ b/src/admission/retry_budget_tests.cpp
@@ -8,15 +8,15 @@
 // again; without a bound the retries alone would fill the engines that are left.
 TEST_CASE("the retry budget bounds the orders sent during an outage", "[admission]") {
     admission::retry_budget budget;
-    int orders = 0;
+    int attempts = 0;
     constexpr int requests = 10000;
     for (int request = 0; request < requests; ++request) {
-        admission::note_request(budget);
-        ++orders;
-        while (admission::take_retry(budget)) {
-            ++orders;
+        admission::record_request(budget);
+        ++attempts;
+        while (admission::consume_retry(budget)) {
+            ++attempts;
         }
     }
-    CHECK(orders <= requests * 1.1 + 11);
-    CHECK(orders >= requests * 1.09);
+    CHECK(attempts <= requests * 1.1 + 11);
+    CHECK(attempts >= requests * 1.09);
 }
--- a/src/admission/retry_window.h
+++ b/src/admission/retry_window.h
@@ -14,26 +14,26 @@
 struct retry_window {
     // The stretch, and the part of it that is counted together.
     base::micros span = base::seconds(10);
-    static constexpr std::size_t steps = 20;
+    static constexpr std::size_t bucket_count = 20;
     // Retries a request, and further ones a stretch.
-    double a_request = 0.1;
-    double more = 10.0;
+    double retries_per_request = 0.1;
+    double extra_retries = 10.0;
 
-    struct step {
-        std::int64_t number = -1;
+    struct bucket {
+        std::int64_t index = -1;
         double requests = 0;
         double retries = 0;
     };
     // One more than the stretch has, since the oldest is only partly over.
-    std::array<step, steps + 1> counted{};
+    std::array<bucket, bucket_count + 1> buckets{};
 };
 
-void note_request(retry_window& window, base::instant now);
+void record_request(retry_window& window, base::instant now);
 
 // Takes one retry; false where the window allows no more.
-bool take_retry(retry_window& window, base::instant now);
+bool consume_retry(retry_window& window, base::instant now);
 
 // Retries that are left now.
-double retries_left(const retry_window& window, base::instant now);
+double remaining_retries(const retry_window& window, base::instant now);
 
 } // namespace camphorrail::admission
--- a/src/admission/retry_window_tests.cpp
+++ b/src/admission/retry_window_tests.cpp
@@ -18,36 +18,36 @@
 // An engine with forty answers under way breaks off. All of them may go on elsewhere at once, if
 // the entry's requests of the last ten seconds allow it.
 TEST_CASE("a retry window lets many go at once", "[admission]") {
-    admission::retry_window window{.a_request = 0.14, .more = 3};
+    admission::retry_window window{.retries_per_request = 0.14, .extra_retries = 3};
     for (int request = 0; request < 300; ++request) {
-        admission::note_request(window, at(request * 30));
+        admission::record_request(window, at(request * 30));
     }
-    int taken = 0;
-    while (admission::take_retry(window, at(9100))) {
-        ++taken;
+    int consumed = 0;
+    while (admission::consume_retry(window, at(9100))) {
+        ++consumed;
     }
-    CHECK(taken == 45);
+    CHECK(consumed == 45);
 
     SECTION("and no more until they are ten seconds past") {
-        admission::note_request(window, at(12000));
-        CHECK_FALSE(admission::take_retry(window, at(18900)));
-        CHECK(admission::take_retry(window, at(20000)));
+        admission::record_request(window, at(12000));
+        CHECK_FALSE(admission::consume_retry(window, at(18900)));
+        CHECK(admission::consume_retry(window, at(20000)));
     }
 }
 
 // A third of the engines is down and every attempt there fails. Whatever stretch of ten seconds the
 // operators look at, the retries in it are within the bound.
 TEST_CASE("a retry window bounds every stretch", "[admission]") {
-    admission::retry_window window{.a_request = 0.14, .more = 3};
+    admission::retry_window window{.retries_per_request = 0.14, .extra_retries = 3};
     std::vector<int> requests;
     std::vector<int> retries;
     for (int time = 0; time < 60000; time += 7) {
         // Traffic that comes and goes.
         if ((time / 5000) % 2 == 0 || time % 70 == 0) {
-            admission::note_request(window, at(time));
+            admission::record_request(window, at(time));
             requests.push_back(time);
         }
-        if (admission::take_retry(window, at(time))) {
+        if (admission::consume_retry(window, at(time))) {
             retries.push_back(time);
         }
     }
--- a/src/agent/order_runner.cpp
+++ b/src/agent/order_runner.cpp
@@ -71,13 +71,13 @@
     const auto estimate = routing::expected_work(this->cache, active->chain, now);
     active->work = estimate.work;
     active->basis = estimate.basis;
-    const admission::waiting_order entry{{order.attempt},
-                                         {order.team},
-                                         order.priority,
-                                         order.share,
-                                         active->work,
-                                         now + base::micros(order.target_us),
-                                         now + base::micros(order.deadline_us)};
+    const admission::queued_request entry{{order.attempt},
+                                          {order.team},
+                                          order.priority,
+                                          order.share,
+                                          active->work,
+                                          now + base::micros(order.target_us),
+                                          now + base::micros(order.deadline_us)};
     const base::micros wait = this->engine_wait();
     const auto admitted = admission::admit(this->queue, entry, wait, now, this->rules);
     if (!admitted.has_value()) {
@@ -277,7 +277,7 @@
 }
 
 void order_runner::expire() {
-    for (const auto& order : admission::take_expired(this->queue, this->clock.now())) {
+    for (const auto& order : admission::remove_expired(this->queue, this->clock.now())) {
         const auto found = this->waiting.find(order.attempt.value);
         const active_ptr active = found->second;
         this->waiting.erase(found);
--- a/src/agent/order_runner.h
+++ b/src/agent/order_runner.h
@@ -67,7 +67,7 @@
     routing::engine_view cache;
     // Who holds the prefixes that this upstream is home of.
     routing::affinity_table notes;
-    admission::order_queue queue;
+    admission::request_queue queue;
     admission::admission_rules rules;
     bool leaving = false;
     std::unordered_map<std::string, active_ptr> waiting;
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -227,8 +227,8 @@
         for (const auto& view : pool.upstreams) {
             pools[name.value].push_back({{"upstream", view.id.value},
                                          {"wait_us", view.reported_wait.count()},
-                                         {"leaving", view.health.leaving},
-                                         {"listed_leaving", view.health.listed_leaving},
+                                         {"leaving", view.health.draining},
+                                         {"listed_leaving", view.health.listed_draining},
                                          {"engine_incarnation", view.health.engine_incarnation}});
         }
     }
--- a/src/entry/request_answers.cpp
+++ b/src/entry/request_answers.cpp
@@ -87,7 +87,7 @@
                              this->request.chain, this->made.basis, {message.cached_tokens},
                              this->now(), this->around->router->rules);
         if (auto* view = routing::find(pool, this->upstream)) {
-            membership::note_success(view->health);
+            membership::record_success(view->health);
         }
     }
     const adapters::metric_labels labels{{"pool", this->request.pool.value}};
--- a/src/entry/request_flow.cpp
+++ b/src/entry/request_flow.cpp
@@ -59,7 +59,7 @@
     });
     this->around->metrics->count("camphorrail_requests_total",
                                  {{"pool", this->request.pool.value}});
-    admission::note_request(this->around->router->budget);
+    admission::record_request(this->around->router->budget);
     if (this->once()) {
         this->owners =
             once::ranked_owners(this->request.key, config::members(this->around->config->current(),
@@ -226,7 +226,7 @@
         this->give_up({number, ran, std::max(soon, this->retry_after)});
         return;
     }
-    if (fault && !admission::take_retry(this->around->router->budget)) {
+    if (fault && !admission::consume_retry(this->around->router->budget)) {
         this->give_up({base::code::retry_budget_spent, ran, soon});
         return;
     }
--- a/src/entry/router_state.cpp
+++ b/src/entry/router_state.cpp
@@ -35,7 +35,7 @@
         return; // a message that carries no report
     }
     for_each_view(state, from, [&](routing::pool_view& pool, routing::upstream_view& view) {
-        view.health.leaving = load.leaving;
+        view.health.draining = load.leaving;
         routing::note_load(pool, from, base::micros(load.wait_us), load.prefill_us_per_token,
                            load.engine_incarnation, now);
     });
@@ -43,13 +43,13 @@
 
 void note_failure(router_state& state, const base::upstream_id& at, base::instant now) {
     for_each_view(state, at, [&](routing::pool_view&, routing::upstream_view& view) {
-        membership::note_failure(view.health, now, state.rules.health);
+        membership::record_failure(view.health, now, state.rules.health);
     });
 }
 
 void note_listed(router_state& state, const base::upstream_id& vm, bool leaving) {
     for_each_view(state, vm, [&](routing::pool_view&, routing::upstream_view& view) {
-        view.health.listed_leaving = leaving;
+        view.health.listed_draining = leaving;
     });
 }
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-bool same(const ports::listed_upstream& left, const ports::listed_upstream& right) {
+bool is_same_listing(const ports::listed_upstream& left, const ports::listed_upstream& right) {
     return left.incarnation == right.incarnation && left.address == right.address &&
            left.draining == right.draining && left.models == right.models &&
            left.pool == right.pool && left.slots == right.slots;
 }
 
 // Further lives are older than any message on its way.
-constexpr std::size_t most_earlier_lives = 4;
+constexpr std::size_t max_previous_incarnations = 4;
 
 // Departed lives that are remembered, and for how long.
-constexpr std::size_t most_departed = 256;
+constexpr std::size_t max_departed = 256;
 constexpr base::minutes departed_lifetime{10};
 
 // One that asks for longer than this is asked again after it.
-constexpr base::minutes longest_pause{10};
+constexpr base::minutes max_pause{10};
 
 // An upstream that begins to say when it started has not started again for that.
-bool is_other_life(base::upstream_incarnation before, base::upstream_incarnation after) {
+bool is_restart(base::upstream_incarnation before, base::upstream_incarnation after) {
     return before.value != 0 && before != after;
 }
 
@@ -38,17 +38,17 @@
 
 void start_incarnation(member& one, base::upstream_incarnation incarnation) {
     one.previous_incarnations.push_back(one.listed.incarnation);
-    if (one.previous_incarnations.size() > most_earlier_lives) {
+    if (one.previous_incarnations.size() > max_previous_incarnations) {
         one.previous_incarnations.erase(one.previous_incarnations.begin());
     }
-    member begun;
-    begun.listed = std::move(one.listed);
-    begun.listed.incarnation = incarnation;
-    begun.id_hash = one.id_hash;
-    begun.short_lane = one.short_lane;
-    begun.unlisted_since = one.unlisted_since;
-    begun.previous_incarnations = std::move(one.previous_incarnations);
-    one = std::move(begun);
+    member restarted;
+    restarted.listed = std::move(one.listed);
+    restarted.listed.incarnation = incarnation;
+    restarted.id_hash = one.id_hash;
+    restarted.short_lane = one.short_lane;
+    restarted.unlisted_since = one.unlisted_since;
+    restarted.previous_incarnations = std::move(one.previous_incarnations);
+    one = std::move(restarted);
 }
 
 base::upstream_instance instance_of(const member& one) {
@@ -57,9 +57,9 @@
 
 member* find_instance(fleet& state, const base::upstream_instance& instance) {
     const auto found = state.members.find(instance.id);
-    const bool same_life =
+    const bool same_incarnation =
         found != state.members.end() && found->second.listed.incarnation == instance.incarnation;
-    return same_life ? &found->second : nullptr;
+    return same_incarnation ? &found->second : nullptr;
 }
 
 bool incarnation_ended(const member& one, base::upstream_incarnation incarnation) {
@@ -85,7 +85,7 @@
 
 list_diff apply_list(fleet& state, const std::vector<ports::listed_upstream>& listed,
                      base::instant now) {
-    list_diff change;
+    list_diff diff;
     std::set<base::upstream_id> present;
     for (const auto& each : listed) {
         present.insert(each.id);
@@ -95,20 +95,20 @@
             continue;
         }
         if (is_new) {
-            change.added.push_back(each.id);
+            diff.added.push_back(each.id);
             const auto left = state.drained.find({each.id, each.incarnation});
             if (left != state.drained.end()) {
                 one.drain_reported_at = left->second;
             }
-        } else if (one.unlisted_since || !same(one.listed, each)) {
-            change.changed.push_back(each.id);
+        } else if (one.unlisted_since || !is_same_listing(one.listed, each)) {
+            diff.changed.push_back(each.id);
         }
-        if (!is_new && is_other_life(one.listed.incarnation, each.incarnation)) {
+        if (!is_new && is_restart(one.listed.incarnation, each.incarnation)) {
             start_incarnation(one, each.incarnation);
-            change.restarted.push_back(each.id);
+            diff.restarted.push_back(each.id);
         }
         if (!is_new && one.listed.models != each.models) {
-            change.weights_changed.push_back(each.id);
+            diff.weights_changed.push_back(each.id);
         }
         one.listed = each;
         one.id_hash = base::stable_hash(each.id.value);
@@ -117,16 +117,16 @@
     for (auto& [id, one] : state.members) {
         if (present.count(id) == 0 && !one.unlisted_since) {
             one.unlisted_since = now;
-            change.removed.push_back(id);
+            diff.removed.push_back(id);
         }
     }
-    return change;
+    return diff;
 }
 
 namespace {
 
 void remember_departed(fleet& state, const base::upstream_instance& upstream, base::instant since) {
-    if (state.drained.size() >= most_departed) {
+    if (state.drained.size() >= max_departed) {
         state.drained.erase(std::min_element(
             state.drained.begin(), state.drained.end(),
             [](const auto& left, const auto& right) { return left.second < right.second; }));
@@ -141,15 +141,15 @@
     std::vector<base::upstream_id> dropped;
     for (auto it = state.members.begin(); it != state.members.end();) {
         const member& one = it->second;
-        const bool over = one.unlisted_since && one.local_work.in_flight == 0 &&
-                          now - *one.unlisted_since > rules.unlisted_grace;
-        if (over) {
+        const bool is_expired = one.unlisted_since && one.local_work.in_flight == 0 &&
+                                now - *one.unlisted_since > rules.unlisted_grace;
+        if (is_expired) {
             dropped.push_back(it->first);
         }
-        if (over && one.drain_reported_at) {
+        if (is_expired && one.drain_reported_at) {
             remember_departed(state, instance_of(one), *one.drain_reported_at);
         }
-        it = over ? state.members.erase(it) : std::next(it);
+        it = is_expired ? state.members.erase(it) : std::next(it);
     }
     std::erase_if(state.drained,
                   [now](const auto& each) { return now - each.second > departed_lifetime; });
@@ -170,14 +170,15 @@
 }
 
 bool may_serve_in_grace(const member& one, base::instant now, const fleet_rules& rules) {
-    const auto lately = [&](const std::optional<base::instant>& since) {
+    const auto is_recent = [&](const std::optional<base::instant>& since) {
         return !since || now - *since <= rules.unlisted_grace;
     };
-    return !one.listed.draining && lately(one.unlisted_since) && lately(one.drain_reported_at);
+    return !one.listed.draining && is_recent(one.unlisted_since) &&
+           is_recent(one.drain_reported_at);
 }
 
 bool is_suspected(const member& one, base::instant now) {
-    return !membership::usable(one.health, now) || now < one.suspected_until;
+    return !membership::is_usable(one.health, now) || now < one.suspected_until;
 }
 
 base::instant unavailable_until(const member& one) {
@@ -185,7 +186,7 @@
 }
 
 void record_pause(member& one, base::micros span, base::instant now) {
-    const base::instant until = now + std::min<base::micros>(span, longest_pause);
+    const base::instant until = now + std::min<base::micros>(span, max_pause);
     one.pause_until = std::max(one.pause_until, until);
 }
 
@@ -196,7 +197,7 @@
 std::vector<member*> candidates(fleet& state, const base::pool_id& pool, base::instant now,
                                 const fleet_rules& rules,
                                 const std::vector<base::upstream_id>& except) {
-    std::vector<member*> fit;
+    std::vector<member*> eligible;
     std::vector<member*> suspected;
     std::vector<member*> last_resort;
     bool any_listed = false;
@@ -209,7 +210,7 @@
             continue;
         }
         if (is_eligible(one, now)) {
-            fit.push_back(&one);
+            eligible.push_back(&one);
         } else if (is_available(one) && now >= unavailable_until(one)) {
             suspected.push_back(&one);
         } else if (!is_available(one) && now >= one.pause_until &&
@@ -217,8 +218,8 @@
             last_resort.push_back(&one);
         }
     }
-    if (!fit.empty()) {
-        return fit;
+    if (!eligible.empty()) {
+        return eligible;
     }
     if (!suspected.empty()) {
         return suspected;
@@ -239,28 +240,30 @@
     return all;
 }
 
-std::int64_t estimate_unread_tokens(const member& one, base::instant now, double tokens_a_ms) {
-    double told = 0.0;
-    double told_ms = 0.0;
+std::int64_t estimate_pending_prefill_tokens(const member& one, base::instant now,
+                                             double tokens_per_ms) {
+    double reported = 0.0;
+    double weighted_age_ms = 0.0;
     for (const auto& [entry, load] : one.remote_work) {
         if (now <= load.expires_at) {
-            const auto tokens = static_cast<double>(load.work.unread_tokens);
+            const auto tokens = static_cast<double>(load.work.pending_prefill_tokens);
             const std::chrono::duration<double, std::milli> age = now - load.reported_at;
-            told += tokens;
-            told_ms += tokens * age.count();
+            reported += tokens;
+            weighted_age_ms += tokens * age.count();
         }
     }
-    const double read = told > 0.0 ? tokens_a_ms * told_ms / told : 0.0;
-    return one.local_work.unread_tokens + static_cast<std::int64_t>(std::max(0.0, told - read));
+    const double read = reported > 0.0 ? tokens_per_ms * weighted_age_ms / reported : 0.0;
+    return one.local_work.pending_prefill_tokens +
+           static_cast<std::int64_t>(std::max(0.0, reported - read));
 }
 
 std::int64_t estimated_load(const member& one, base::instant now, const fleet_rules& rules) {
-    const std::int64_t known = total_work(one, now).in_flight;
+    const std::int64_t in_flight = total_work(one, now).in_flight;
     if (!one.load || now - one.load_at > rules.load_report_ttl) {
-        return known;
+        return in_flight;
     }
     // The report counts the request that it came with, which has ended.
-    return std::max(known, one.load->running + one.load->waiting - 1);
+    return std::max(in_flight, one.load->running + one.load->waiting - 1);
 }
 
 member* least_loaded(const std::vector<member*>& among, const base::availability_zone& zone,
@@ -275,11 +278,11 @@
     rank best_rank{};
     for (member* one : among) {
         const auto slots = static_cast<double>(std::max<std::int64_t>(one->listed.slots, 1));
-        const rank mine{static_cast<double>(estimated_load(*one, now, rules)) / slots,
-                        one->listed.zone != zone, base::combine_hashes(number, one->id_hash)};
-        if (best == nullptr || mine < best_rank) {
+        const rank candidate{static_cast<double>(estimated_load(*one, now, rules)) / slots,
+                             one->listed.zone != zone, base::combine_hashes(number, one->id_hash)};
+        if (best == nullptr || candidate < best_rank) {
             best = one;
-            best_rank = mine;
+            best_rank = candidate;
         }
     }
     return best;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -156,7 +156,8 @@
 // since: with a hundred entries that report twice a second, most reported tokens have been read by
 // the time they are counted, and without this prompts left their cached copies to avoid queues that
 // no longer existed.
-std::int64_t estimate_unread_tokens(const member& one, base::instant now, double tokens_a_ms);
+std::int64_t estimate_pending_prefill_tokens(const member& one, base::instant now,
+                                             double tokens_per_ms);
 
 // Estimates the number of requests at a member, of this entry and of all others.
 std::int64_t estimated_load(const member& one, base::instant now, const fleet_rules& rules);
--- a/src/fleet/fleet_tests.cpp
+++ b/src/fleet/fleet_tests.cpp
@@ -42,13 +42,13 @@
     one.local_work.in_flight = 3;
     one.remote_work[{"entry-2"}] = {{4, 100, 100, 0}, at(9000)};
     one.load = ports::reported_load{6, 2, 6};
-    const std::int64_t born = GENERATE(std::int64_t{700}, std::int64_t{400});
-    listed.incarnation = {born};
+    const std::int64_t new_incarnation = GENERATE(std::int64_t{700}, std::int64_t{400});
+    listed.incarnation = {new_incarnation};
     const auto change = fleet::apply_list(state, {listed}, at(10));
     REQUIRE(change.restarted == std::vector<base::upstream_id>{{"one"}});
     CHECK(fleet::is_eligible(one, at(11)));
     CHECK(fleet::estimated_load(one, at(11), {}) == 0);
-    CHECK(fleet::find_instance(state, {{"one"}, {born}}) == &one);
+    CHECK(fleet::find_instance(state, {{"one"}, {new_incarnation}}) == &one);
     CHECK(fleet::find_instance(state, {{"one"}, {500}}) == nullptr);
 
     SECTION("and a late heartbeat of its earlier life changes nothing") {
@@ -56,7 +56,7 @@
         listed.incarnation = {500};
         listed.draining = true;
         CHECK(fleet::apply_list(state, {listed}, at(20)).restarted.empty());
-        CHECK(one.listed.incarnation.value == born);
+        CHECK(one.listed.incarnation.value == new_incarnation);
         CHECK(one.local_work.in_flight == 1);
         CHECK(fleet::is_eligible(one, at(21)));
     }
@@ -184,20 +184,20 @@
 // in a row, and callers go on losing requests to it unless the share of its failures counts.
 TEST_CASE("an upstream that fails part of its calls is ejected, and again on probation",
           "[fleet]") {
-    const membership::health_rules rules{.failures_to_eject = 3, .share_to_eject = 0.3};
+    const membership::health_rules rules{.failures_to_eject = 3, .ejection_failure_rate = 0.3};
     membership::health state;
     int calls = 0;
-    while (membership::usable(state, at(0)) && calls < 100) {
+    while (membership::is_usable(state, at(0)) && calls < 100) {
         ++calls;
         if (calls % 2 == 0) {
-            membership::note_failure(state, at(0), rules);
+            membership::record_failure(state, at(0), rules);
         } else {
-            membership::note_success(state, rules);
+            membership::record_success(state, rules);
         }
     }
     CHECK(calls < 20);
     const auto first = state.ejected_until - at(0);
-    membership::note_failure(state, state.ejected_until, rules);
+    membership::record_failure(state, state.ejected_until, rules);
     CHECK(state.ejected_until > at(0) + 2 * first);
 }
 
--- a/src/fleet/workload.cpp
+++ b/src/fleet/workload.cpp
@@ -2,35 +2,35 @@
 
 namespace camphorrail::fleet {
 
-workload& workload::operator+=(const workload& more) {
-    this->in_flight += more.in_flight;
-    this->unread_tokens += more.unread_tokens;
-    this->held_tokens += more.held_tokens;
-    this->unrepeatable += more.unrepeatable;
-    this->short_prompts += more.short_prompts;
+workload& workload::operator+=(const workload& other) {
+    this->in_flight += other.in_flight;
+    this->pending_prefill_tokens += other.pending_prefill_tokens;
+    this->kv_tokens += other.kv_tokens;
+    this->non_retryable += other.non_retryable;
+    this->short_prompts += other.short_prompts;
     return *this;
 }
 
-void begin_work(workload& load, const request_work& work) {
+void add_request(workload& load, const request_work& work) {
     ++load.in_flight;
-    load.unrepeatable += work.unrepeatable ? 1 : 0;
+    load.non_retryable += work.non_retryable ? 1 : 0;
     load.short_prompts += work.short_prompt ? 1 : 0;
-    load.unread_tokens += work.to_read;
-    load.held_tokens += work.prompt_tokens;
+    load.pending_prefill_tokens += work.uncached_tokens;
+    load.kv_tokens += work.prompt_tokens;
 }
 
-void note_begun(workload& load, const request_work& work) {
-    load.unread_tokens -= work.to_read;
+void record_first_byte(workload& load, const request_work& work) {
+    load.pending_prefill_tokens -= work.uncached_tokens;
 }
 
-void end_work(workload& load, const request_work& work, bool begun) {
-    if (!begun) {
-        note_begun(load, work);
+void remove_request(workload& load, const request_work& work, bool first_byte_received) {
+    if (!first_byte_received) {
+        record_first_byte(load, work);
     }
     --load.in_flight;
-    load.unrepeatable -= work.unrepeatable ? 1 : 0;
+    load.non_retryable -= work.non_retryable ? 1 : 0;
     load.short_prompts -= work.short_prompt ? 1 : 0;
-    load.held_tokens -= work.prompt_tokens;
+    load.kv_tokens -= work.prompt_tokens;
 }
 
 } // namespace camphorrail::fleet
--- a/src/fleet/workload.h
+++ b/src/fleet/workload.h
@@ -8,9 +8,9 @@
 struct request_work {
     // Prompt tokens, and how many of them are probably not cached there.
     std::int64_t prompt_tokens = 0;
-    std::int64_t to_read = 0;
+    std::int64_t uncached_tokens = 0;
     // It would be lost if the upstream cut it off.
-    bool unrepeatable = false;
+    bool non_retryable = false;
     // It belongs to the lane for short prompts; see kvcache/lanes.h.
     bool short_prompt = false;
 };
@@ -19,22 +19,22 @@
 struct workload {
     std::int64_t in_flight = 0;
     // Prompt tokens that wait to be read.
-    std::int64_t unread_tokens = 0;
+    std::int64_t pending_prefill_tokens = 0;
     // Prompt tokens that the upstream's memory holds or will hold next.
-    std::int64_t held_tokens = 0;
-    std::int64_t unrepeatable = 0;
+    std::int64_t kv_tokens = 0;
+    std::int64_t non_retryable = 0;
     std::int64_t short_prompts = 0;
 
-    workload& operator+=(const workload& more);
+    workload& operator+=(const workload& other);
 };
 
 // A request is sent to the upstream.
-void begin_work(workload& load, const request_work& work);
+void add_request(workload& load, const request_work& work);
 
 // Its first byte has come: the prompt is read.
-void note_begun(workload& load, const request_work& work);
+void record_first_byte(workload& load, const request_work& work);
 
 // It has ended, or is called off; `begun` where its first byte had come.
-void end_work(workload& load, const request_work& work, bool begun);
+void remove_request(workload& load, const request_work& work, bool first_byte_received);
 
 } // namespace camphorrail::fleet
--- a/src/fleet/workload_tests.cpp
+++ b/src/fleet/workload_tests.cpp
@@ -8,30 +8,30 @@
     fleet::workload load;
     const fleet::request_work first{9000, 2900, true};
     const fleet::request_work second{800, 800, false};
-    fleet::begin_work(load, first);
-    fleet::begin_work(load, second);
+    fleet::add_request(load, first);
+    fleet::add_request(load, second);
     CHECK(load.in_flight == 2);
-    CHECK(load.unread_tokens == 3700);
-    CHECK(load.held_tokens == 9800);
-    CHECK(load.unrepeatable == 1);
+    CHECK(load.pending_prefill_tokens == 3700);
+    CHECK(load.kv_tokens == 9800);
+    CHECK(load.non_retryable == 1);
 
     SECTION("with prompts that are read but still held") {
-        fleet::note_begun(load, first);
-        CHECK(load.unread_tokens == 800);
-        CHECK(load.held_tokens == 9800);
-        fleet::end_work(load, first, true);
-        fleet::begin_work(load, first);
+        fleet::record_first_byte(load, first);
+        CHECK(load.pending_prefill_tokens == 800);
+        CHECK(load.kv_tokens == 9800);
+        fleet::remove_request(load, first, true);
+        fleet::add_request(load, first);
     }
     SECTION("over all entries") {
         fleet::workload all = load;
         all += load;
         CHECK(all.in_flight == 4);
-        CHECK(all.held_tokens == 19600);
+        CHECK(all.kv_tokens == 19600);
     }
-    fleet::end_work(load, first, false);
-    fleet::end_work(load, second, false);
+    fleet::remove_request(load, first, false);
+    fleet::remove_request(load, second, false);
     CHECK(load.in_flight == 0);
-    CHECK(load.unread_tokens == 0);
-    CHECK(load.held_tokens == 0);
-    CHECK(load.unrepeatable == 0);
+    CHECK(load.pending_prefill_tokens == 0);
+    CHECK(load.kv_tokens == 0);
+    CHECK(load.non_retryable == 0);
 }
--- a/src/kvcache/placement.cpp
+++ b/src/kvcache/placement.cpp
@@ -36,19 +36,20 @@
 // How long until there is room for one more prompt, when more than a part of the memory is taken.
 double memory_ms(const fleet::workload& work, double part, const prompt_request& request,
                  const placement_costs& costs) {
-    if (request.pool.engine_tokens <= 0) {
+    if (request.pool.kv_capacity_tokens <= 0) {
         return 0.0;
     }
-    const double room = part * static_cast<double>(request.pool.engine_tokens);
-    const auto wanted = static_cast<double>(work.held_tokens + request.chain.all_tokens());
+    const double room = part * static_cast<double>(request.pool.kv_capacity_tokens);
+    const auto wanted = static_cast<double>(work.kv_tokens + request.chain.all_tokens());
     const double turnover =
-        costs.memory_turnover_ms / static_cast<double>(request.pool.engine_tokens);
+        costs.memory_turnover_ms / static_cast<double>(request.pool.kv_capacity_tokens);
     return std::max(0.0, wanted - room) * turnover;
 }
 
 std::int64_t unread_at(const fleet::member& one, const placement_view& view) {
     const double token_ms = latency::reading_ms(view.model, {1.0, 0.0, 0.0});
-    return fleet::estimate_unread_tokens(one, view.now, token_ms > 0.0 ? 1.0 / token_ms : 0.0);
+    return fleet::estimate_pending_prefill_tokens(one, view.now,
+                                                  token_ms > 0.0 ? 1.0 / token_ms : 0.0);
 }
 
 // How long the prompt will probably wait at an engine before it is read.
--- a/src/kvcache/placement_tests.cpp
+++ b/src/kvcache/placement_tests.cpp
@@ -52,7 +52,7 @@
         read.weights = 1;
         read.by = by;
         read.saved = saved;
-        kvcache::note_read(this->beliefs, read, this->pool.engine_tokens, at);
+        kvcache::note_read(this->beliefs, read, this->pool.kv_capacity_tokens, at);
     }
 
     // Enough traffic, evenly over all agencies, for shares to be known.
@@ -156,7 +156,7 @@
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
         entry.keep(chain);
-        home->local_work.unread_tokens = 30000;
+        home->local_work.pending_prefill_tokens = 30000;
         const auto second = entry.place(chain);
         CHECK(second.target.engine != home);
         CHECK(second.fetch_from == home->listed.address);
@@ -167,11 +167,11 @@
     SECTION("the second of its engines, unless the third has far less to do") {
         const auto placed = [&] { return entry.place(chain).target.engine; };
         auto* home = placed();
-        home->local_work.unread_tokens = 30000;
+        home->local_work.pending_prefill_tokens = 30000;
         auto* second = placed();
-        second->local_work.unread_tokens = 8000;
+        second->local_work.pending_prefill_tokens = 8000;
         CHECK(placed() == second);
-        second->local_work.unread_tokens = 25000;
+        second->local_work.pending_prefill_tokens = 25000;
         CHECK(placed() != second);
     }
     SECTION("and from the kept copy when it has read too much since") {
@@ -181,23 +181,23 @@
             entry.read(chain_of(other), *home, now - base::seconds(2));
         }
         entry.keep(chain);
-        home->local_work.unread_tokens = 30000;
+        home->local_work.pending_prefill_tokens = 30000;
         CHECK(entry.place(chain).fetch_from == store_in(home->listed.zone));
     }
     // Another engine has had the prompt in its home's place, and nobody has kept a copy yet. The
     // home would read all of it again.
     SECTION("and it stays there, where it is cached now") {
         const auto home = entry.place(chain).target.engine;
-        home->local_work.unread_tokens = 30000;
+        home->local_work.pending_prefill_tokens = 30000;
         auto* stood_in = entry.place(chain).target.engine;
         entry.read(chain, *stood_in, now);
-        home->local_work.unread_tokens = 0;
+        home->local_work.pending_prefill_tokens = 0;
         const auto next = entry.place(chain);
         CHECK(next.target.engine == stood_in);
         CHECK(next.to_read == 2890);
 
         // Until that one is behind; the home then has it from there, and reads nothing again.
-        stood_in->local_work.unread_tokens = 30000;
+        stood_in->local_work.pending_prefill_tokens = 30000;
         const auto back = entry.place(chain);
         CHECK(back.target.engine == home);
         CHECK(back.fetch_from == stood_in->listed.address);
@@ -264,7 +264,7 @@
     world entry(38);
     auto* idle = entry.place(chain_of(0)).target.engine;
     for (auto& [id, one] : entry.state.members) {
-        one.local_work.unread_tokens = &one == idle ? 0 : 40000;
+        one.local_work.pending_prefill_tokens = &one == idle ? 0 : 40000;
     }
     entry.see_traffic([](int history) { return chain_of(history); });
     std::map<std::string, int> sent;
@@ -320,7 +320,7 @@
     for (auto& [id, one] : entry.state.members) {
         short_lane += one.short_lane ? 1 : 0;
         short_by_zone[one.listed.zone] += one.short_lane ? 1 : 0;
-        one.local_work.unread_tokens = one.short_lane ? 0 : 30000;
+        one.local_work.pending_prefill_tokens = one.short_lane ? 0 : 30000;
     }
     CHECK(short_lane == 5);
     CHECK_FALSE(entry.place(chain_of(1)).target.engine->short_lane);
@@ -336,7 +336,7 @@
     // request more waits for an answer to end, while the other lane has slots to spare.
     SECTION("until nearly all of their slots are taken") {
         for (auto& [id, one] : entry.state.members) {
-            one.local_work.unread_tokens = 0;
+            one.local_work.pending_prefill_tokens = 0;
             one.local_work.in_flight = one.short_lane ? 31 : 4;
         }
         CHECK_FALSE(entry.place(small).target.engine->short_lane);
@@ -355,20 +355,20 @@
     world entry(38);
     const auto chain = chain_of(1);
     const auto home = entry.place(chain).target.engine;
-    home->local_work.held_tokens = 40000;
+    home->local_work.kv_tokens = 40000;
     CHECK(entry.place(chain).target.engine == home);
-    home->local_work.held_tokens = 70000;
+    home->local_work.kv_tokens = 70000;
     const auto second = entry.place(chain).target.engine;
     CHECK(second != home);
 
     SECTION("over all entries") {
-        home->local_work.held_tokens = 0;
-        home->remote_work[{"entry-2"}] = {{.held_tokens = 70000}, now + base::seconds(1)};
+        home->local_work.kv_tokens = 0;
+        home->remote_work[{"entry-2"}] = {{.kv_tokens = 70000}, now + base::seconds(1)};
         CHECK(entry.place(chain).target.engine == second);
     }
     SECTION("unless all that come next for the prompt are full") {
         for (auto& [id, one] : entry.state.members) {
-            one.local_work.held_tokens = 70000;
+            one.local_work.kv_tokens = 70000;
         }
         CHECK(entry.place(chain).target.engine == home);
     }
--- a/src/kvcache/prompt_sources.cpp
+++ b/src/kvcache/prompt_sources.cpp
@@ -32,7 +32,7 @@
     const auto found = std::find_if(request.pool_members.begin(), request.pool_members.end(),
                                     [&](const auto* one) { return one->listed.id == id; });
     const bool can_ask = found != request.pool_members.end() && fleet::is_available(**found) &&
-                         membership::usable((*found)->health, view.now);
+                         membership::is_usable((*found)->health, view.now);
     return can_ask ? *found : nullptr;
 }
 
@@ -145,15 +145,15 @@
 }
 
 double fetch_token_ms(const routes::pool& pool) {
-    const bool known = pool.token_bytes > 0 && pool.link_mbps > 0;
-    return known ? pool.token_bytes * bits_a_byte / (pool.link_mbps * bits_a_ms_by_mbps)
+    const bool known = pool.kv_token_bytes > 0 && pool.link_mbps > 0;
+    return known ? pool.kv_token_bytes * bits_a_byte / (pool.link_mbps * bits_a_ms_by_mbps)
                  : unknown_fetch_ms;
 }
 
 double transfer_ms(const routes::pool& pool, const routes::kv_store& store, double tokens) {
-    const bool known = pool.token_bytes > 0 && store.link_mbps > 0;
+    const bool known = pool.kv_token_bytes > 0 && store.link_mbps > 0;
     const double token_ms =
-        known ? pool.token_bytes * bits_a_byte / (store.link_mbps * bits_a_ms_by_mbps)
+        known ? pool.kv_token_bytes * bits_a_byte / (store.link_mbps * bits_a_ms_by_mbps)
               : unknown_fetch_ms;
     return token_ms * tokens;
 }
--- a/src/membership/health.cpp
+++ b/src/membership/health.cpp
@@ -4,68 +4,68 @@
 
 namespace camphorrail::membership {
 
-void note_success(health& state, const health_rules& rules) {
-    state.failures_in_row = 0;
-    state.failure_share *= 1.0 - rules.newest_weight;
-    if (state.failure_share < rules.share_on_probation) {
-        state.ejections_in_row = 0;
+void record_success(health& state, const health_rules& rules) {
+    state.consecutive_failures = 0;
+    state.failure_rate *= 1.0 - rules.smoothing_factor;
+    if (state.failure_rate < rules.probation_failure_rate) {
+        state.consecutive_ejections = 0;
     }
 }
 
 namespace {
 
 void eject(health& state, base::instant now, const health_rules& rules) {
-    constexpr int most_doublings = 10;
+    constexpr int max_doublings = 10;
     const auto span =
-        rules.first_ejection * (1 << std::min(state.ejections_in_row, most_doublings));
-    state.ejected_until = now + std::min(span, rules.longest_ejection);
-    ++state.ejections_in_row;
-    state.failures_in_row = 0;
-    state.failure_share = std::min(state.failure_share, rules.share_on_probation);
+        rules.base_ejection * (1 << std::min(state.consecutive_ejections, max_doublings));
+    state.ejected_until = now + std::min(span, rules.max_ejection);
+    ++state.consecutive_ejections;
+    state.consecutive_failures = 0;
+    state.failure_rate = std::min(state.failure_rate, rules.probation_failure_rate);
 }
 
 } // namespace
 
-void note_failure(health& state, base::instant now, const health_rules& rules) {
-    ++state.failures_in_row;
-    if (state.failures_in_row >= rules.failures_to_eject) {
-        state.failure_share += (1.0 - state.failure_share) * rules.newest_weight;
+void record_failure(health& state, base::instant now, const health_rules& rules) {
+    ++state.consecutive_failures;
+    if (state.consecutive_failures >= rules.failures_to_eject) {
+        state.failure_rate += (1.0 - state.failure_rate) * rules.smoothing_factor;
         eject(state, now, rules);
         return;
     }
-    note_error(state, now, rules);
+    record_error(state, now, rules);
 }
 
-void note_error(health& state, base::instant now, const health_rules& rules) {
-    state.failure_share += (1.0 - state.failure_share) * rules.newest_weight;
-    if (state.failure_share >= rules.share_to_eject) {
+void record_error(health& state, base::instant now, const health_rules& rules) {
+    state.failure_rate += (1.0 - state.failure_rate) * rules.smoothing_factor;
+    if (state.failure_rate >= rules.ejection_failure_rate) {
         eject(state, now, rules);
     }
 }
 
-bool note_engine(health& state, std::int64_t engine_incarnation, base::instant now) {
+bool record_incarnation(health& state, std::int64_t engine_incarnation, base::instant now) {
     // Reports may arrive late; an older life must not undo what is known of a newer one.
     if (engine_incarnation <= state.engine_incarnation) {
         return false;
     }
-    const bool first = state.engine_incarnation == 0;
+    const bool is_first = state.engine_incarnation == 0;
     state.engine_incarnation = engine_incarnation;
-    if (first) {
+    if (is_first) {
         return false;
     }
-    state.back_since = now;
+    state.restarted_at = now;
     return true;
 }
 
-bool usable(const health& state, base::instant now) {
-    return !state.leaving && !state.listed_leaving && now >= state.ejected_until;
+bool is_usable(const health& state, base::instant now) {
+    return !state.draining && !state.listed_draining && now >= state.ejected_until;
 }
 
-double warmth(const health& state, base::instant now, const health_rules& rules) {
-    if (state.back_since == base::instant{}) {
+double slow_start_factor(const health& state, base::instant now, const health_rules& rules) {
+    if (state.restarted_at == base::instant{}) {
         return 1.0;
     }
-    const double share = static_cast<double>((now - state.back_since).count()) /
+    const double share = static_cast<double>((now - state.restarted_at).count()) /
                          static_cast<double>(rules.slow_start.count());
     return std::clamp(share, 0.0, 1.0);
 }
--- a/src/peering/messages.cpp
+++ b/src/peering/messages.cpp
@@ -109,8 +109,8 @@
 }
 
 json to_json(const upstream_load& item) {
-    return {to_json(item.upstream),    item.work.in_flight,    item.work.unread_tokens,
-            item.work.held_tokens,     item.work.unrepeatable, item.work.short_prompts,
+    return {to_json(item.upstream),    item.work.in_flight,     item.work.pending_prefill_tokens,
+            item.work.kv_tokens,       item.work.non_retryable, item.work.short_prompts,
             item.last_byte_age.count()};
 }
 
@@ -127,7 +127,8 @@
 }
 
 json to_json(const quota::usage_count& count) {
-    return {count.team.value, count.number, count.age.count(), count.used.value, count.asked.value};
+    return {count.team.value, count.count_id, count.age.count(), count.used.value,
+            count.requested.value};
 }
 
 json to_json(const entry_load& load);
@@ -333,7 +334,7 @@
     crash_report message{report.upstream, sent_at - report.at, {}};
     for (const auto& each : report.victims) {
         const base::micros response_started_ago =
-            each.begun_at ? sent_at - *each.begun_at : base::micros(-1);
+            each.response_started_at ? sent_at - *each.response_started_at : base::micros(-1);
         message.victims.push_back({each.request, sent_at - each.sent_at, response_started_ago});
     }
     return message;
@@ -344,7 +345,7 @@
     for (const auto& each : message.victims) {
         quarantine::crash_victim victim{each.request, sent_at - each.sent_ago, {}};
         if (each.response_started_ago >= base::micros(0)) {
-            victim.begun_at = sent_at - each.response_started_ago;
+            victim.response_started_at = sent_at - each.response_started_ago;
         }
         report.victims.push_back(std::move(victim));
     }
--- a/src/peering/messages_tests.cpp
+++ b/src/peering/messages_tests.cpp
@@ -44,13 +44,13 @@
     CHECK(relayed.complete);
     CHECK(relayed.uptime == base::seconds(12));
     CHECK(relayed.usage.at(0).team.value == "north");
-    CHECK(relayed.usage.at(0).number == 4);
+    CHECK(relayed.usage.at(0).count_id == 4);
     CHECK(relayed.usage.at(0).age == base::micros(1500));
     CHECK(relayed.usage.at(0).used.value == 9230);
-    CHECK(relayed.usage.at(0).asked.value == 18460);
-    CHECK(relayed.items.at(0).work.unread_tokens == 900);
-    CHECK(relayed.items.at(0).work.held_tokens == 1900);
-    CHECK(relayed.items.at(0).work.unrepeatable == 1);
+    CHECK(relayed.usage.at(0).requested.value == 18460);
+    CHECK(relayed.items.at(0).work.pending_prefill_tokens == 900);
+    CHECK(relayed.items.at(0).work.kv_tokens == 1900);
+    CHECK(relayed.items.at(0).work.non_retryable == 1);
     const auto suspicion = peering::decode(peering::encode(
         {peering::suspicion{{{"e1"}, {17}}, base::milliseconds(250), "silent", true}}));
     CHECK(std::get<peering::suspicion>(suspicion.value().payload).reason == "silent");
--- a/src/proxy/admission.cpp
+++ b/src/proxy/admission.cpp
@@ -14,7 +14,7 @@
     if (route == nullptr) {
         return base::code::unknown_path;
     }
-    if (route->open_to_all || view.config->teams.empty()) {
+    if (route->is_public || view.config->teams.empty()) {
         return admitted{view.config, route, nullptr};
     }
     const auto* team = routes::find_team(*view.config, facts.bearer_key);
--- a/src/proxy/admission_tests.cpp
+++ b/src/proxy/admission_tests.cpp
@@ -9,16 +9,15 @@
 std::shared_ptr<const routes::operators_config> sample() {
     auto config = std::make_shared<routes::operators_config>();
     config->version = 3;
-    config->routes = {
-        {.name = "tag",
-         .host = "desk.example",
-         .prefix = "/tag/",
-         .kind = routes::request_kind::stream,
-         .priority = 4},
-        {.name = "open", .host = "desk.example", .prefix = "/o/", .open_to_all = true}};
+    config->routes = {{.name = "tag",
+                       .host = "desk.example",
+                       .prefix = "/tag/",
+                       .kind = routes::request_kind::stream,
+                       .priority = 4},
+                      {.name = "open", .host = "desk.example", .prefix = "/o/", .is_public = true}};
     config->teams = {{.id = {"north"}, .priority = 2, .keys = {"k1"}},
                      {.id = {"south"}, .keys = {"k2"}}};
-    routes::index(*config);
+    routes::build_indexes(*config);
     return config;
 }
 
--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -26,9 +26,9 @@
 
 quota::quota_rules quota_rules_of(const settings::proxy_settings& settings) {
     quota::quota_rules rules;
-    rules.allowed = {settings.bounds.quota_window, settings.bounds.quota_excess,
-                     settings.bounds.quota_slack};
-    rules.longest_unlisted = max_config_age(settings);
+    rules.window_tolerance = {settings.bounds.quota_window, settings.bounds.quota_excess,
+                              settings.bounds.quota_slack};
+    rules.unlisted_timeout = max_config_age(settings);
     return rules;
 }
 
@@ -44,11 +44,11 @@
     // Two failures in a row are rare on a sound upstream, and a crashed one fails every call; with
     // three, one more caller of each entry would be lost to it.
     rules.health.failures_to_eject = 2;
-    rules.health.share_to_eject = 0.4;
-    rules.health.first_ejection = base::milliseconds(1000);
+    rules.health.ejection_failure_rate = 0.4;
+    rules.health.base_ejection = base::milliseconds(1000);
     // A crashed engine is back in some seconds; a longer absence than this would cost more than the
     // one call that finds it still down.
-    rules.health.longest_ejection = base::seconds(4);
+    rules.health.max_ejection = base::seconds(4);
     rules.unlisted_grace = settings.bounds.drain * 7 / 10;
     return rules;
 }
@@ -60,7 +60,7 @@
         return 0;
     }
     const auto pool = state.config->pools.find(found->second.listed.pool);
-    return pool == state.config->pools.end() ? 0 : pool->second.engine_tokens;
+    return pool == state.config->pools.end() ? 0 : pool->second.kv_capacity_tokens;
 }
 
 void record_prompt_read(entry_context& context, const kvcache::prompt_read& read) {
@@ -130,9 +130,9 @@
         return std::nullopt;
     }
     const base::instant now = context.now();
-    const bool was_usable = membership::usable(one->health, now);
+    const bool was_usable = membership::is_usable(one->health, now);
     note_it(one->health, now, fleet_rules_of(context.settings).health);
-    const bool ejected = was_usable && !membership::usable(one->health, now);
+    const bool ejected = was_usable && !membership::is_usable(one->health, now);
     if (!ejected) {
         return std::nullopt;
     }
@@ -150,7 +150,7 @@
 
 void record_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
                              const char* why) {
-    const auto span = note(context, upstream, why, membership::note_failure);
+    const auto span = note(context, upstream, why, membership::record_failure);
     if (span) {
         context.broadcast_suspicion(upstream, *span, why);
     }
@@ -159,12 +159,12 @@
 void record_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
     // Others are not told: some services fail one call in seven, and of many entries one always
     // sees several in a row.
-    note(context, upstream, "error_answers", membership::note_error);
+    note(context, upstream, "error_answers", membership::record_error);
 }
 
 void record_upstream_success(entry_context& context, const base::upstream_instance& upstream) {
     if (auto* one = fleet::find_instance(context.state.fleet, upstream)) {
-        membership::note_success(one->health, fleet_rules_of(context.settings).health);
+        membership::record_success(one->health, fleet_rules_of(context.settings).health);
     }
 }
 
--- a/src/proxy/crash_watch.cpp
+++ b/src/proxy/crash_watch.cpp
@@ -85,7 +85,7 @@
 void crash_watch::add_victims(const base::upstream_instance& upstream, base::instant at,
                               const std::vector<quarantine::crash_victim>& victims) {
     const quarantine::crash_report report{upstream, at, victims};
-    quarantine::note_crash(this->context.state.quarantine, report, this->context.now(), {});
+    quarantine::record_crash(this->context.state.quarantine, report, this->context.now(), {});
     auto& told = this->untold[upstream];
     told.upstream = upstream;
     told.at = at;
@@ -110,7 +110,7 @@
                        base::instant written) {
     const base::instant now = this->context.now();
     const auto report = peering::from_message(told, written);
-    quarantine::note_crash(this->context.state.quarantine, report, now, {});
+    quarantine::record_crash(this->context.state.quarantine, report, now, {});
     this->context.log.line(importance::keep, "upstream_crash_told")
         .text("upstream", told.upstream.id.value)
         .text("entry", from.value)
@@ -120,7 +120,7 @@
 
 void crash_watch::take(const base::entry_id& from, const peering::quarantine_notice& told,
                        base::instant written) {
-    const base::micros longest = quarantine::quarantine_rules{}.longest_hold;
+    const base::micros longest = quarantine::quarantine_rules{}.max_duration;
     const base::micros left = told.remaining - (this->context.now() - written);
     const bool makes_sense = left > base::micros(0) && told.remaining <= longest;
     if (makes_sense) {
@@ -128,18 +128,19 @@
     }
 }
 
-void crash_watch::take_written(const quarantine::hold& written) {
+void crash_watch::take_written(const quarantine::quarantined_request& written) {
     auto given = written;
     given.end_unknown = true;
     this->adopt(given, "store");
 }
 
-void crash_watch::adopt(const quarantine::hold& given, const char* told_by) {
+void crash_watch::adopt(const quarantine::quarantined_request& given, const char* told_by) {
     auto& state = this->context.state.quarantine;
     const base::instant now = this->context.now();
     const auto digest = given.request.digest;
-    const bool known = quarantine::judge(state, digest, now, {}).what == quarantine::verdict::held;
-    const auto hold_it = given.end_unknown ? quarantine::hold_by_record : quarantine::hold_back;
+    const bool known =
+        quarantine::evaluate(state, digest, now, {}).what == quarantine::verdict::quarantined;
+    const auto hold_it = given.end_unknown ? quarantine::impose_from_record : quarantine::impose;
     hold_it(state, given.request, given.span, now, {});
     if (!known) {
         this->log_hold(given, told_by);
@@ -147,7 +148,7 @@
     }
 }
 
-void crash_watch::log_hold(const quarantine::hold& begun, const char* told_by) {
+void crash_watch::log_hold(const quarantine::quarantined_request& begun, const char* told_by) {
     this->context.log.line(importance::keep, "request_quarantined")
         .text("digest", begun.request.digest.value)
         .number("body_bytes", static_cast<std::int64_t>(begun.request.body_bytes))
@@ -158,7 +159,8 @@
 
 std::vector<peering::message> crash_watch::greeting() const {
     std::vector<peering::message> all;
-    for (const auto& one : quarantine::held(this->context.state.quarantine, this->context.now())) {
+    for (const auto& one :
+         quarantine::quarantined_requests(this->context.state.quarantine, this->context.now())) {
         if (!one.end_unknown) {
             all.emplace_back(peering::quarantine_notice{
                 one.request, std::chrono::duration_cast<base::milliseconds>(one.span)});
@@ -174,7 +176,7 @@
         return now - each.second.first_at > breakage_lifetime;
     });
     auto& state = this->context.state.quarantine;
-    for (const auto& begun : quarantine::take_decisions(state, now, {})) {
+    for (const auto& begun : quarantine::decide_quarantines(state, now, {})) {
         this->log_hold(begun, "");
         this->context.metrics.count("camphorrail_requests_quarantined_total");
         this->tell(peering::quarantine_notice{
--- a/src/proxy/crash_watch.h
+++ b/src/proxy/crash_watch.h
@@ -32,7 +32,7 @@
     void take(const base::entry_id& from, const peering::quarantine_notice& told,
               base::instant written);
     // A hold that stands in the platform's store.
-    void take_written(const quarantine::hold& written);
+    void take_written(const quarantine::quarantined_request& written);
     // What an entry is told that has just linked: all holds whose end is known.
     [[nodiscard]] std::vector<peering::message> greeting() const;
     void tick();
@@ -40,7 +40,7 @@
     // Tells the other entries.
     std::function<void(const peering::message&)> tell;
     // A request is held back from now on; `decided_here`: by this entry and not on another's word.
-    std::function<void(const quarantine::hold&, bool decided_here)> held_back;
+    std::function<void(const quarantine::quarantined_request&, bool decided_here)> held_back;
 
 private:
     // What has broken at one upstream, in one of its lives.
@@ -57,8 +57,8 @@
     void add_victims(const base::upstream_instance& upstream, base::instant at,
                      const std::vector<quarantine::crash_victim>& victims);
     void tell_crashes();
-    void adopt(const quarantine::hold& given, const char* told_by);
-    void log_hold(const quarantine::hold& begun, const char* told_by);
+    void adopt(const quarantine::quarantined_request& given, const char* told_by);
+    void log_hold(const quarantine::quarantined_request& begun, const char* told_by);
 
     entry_context& context;
     std::map<base::upstream_instance, breakage> broken;
--- a/src/proxy/crash_watch_tests.cpp
+++ b/src/proxy/crash_watch_tests.cpp
@@ -114,7 +114,7 @@
           "[proxy][quarantine]") {
     tests::proxy_world world;
     world.config.teams.push_back({.id = {"south"}, .keys = {"k2"}});
-    routes::index(world.config);
+    routes::build_indexes(world.config);
     world.prove_config();
     world.add_engine("i-1", [](const engine_request& got) {
         return engine_script{{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
@@ -136,10 +136,11 @@
     tests::proxy_world world;
     world.stop_clock();
     const auto identity = quarantine::identify({"/safe/x", "north", "same bytes"});
-    const quarantine::hold written{identity, base::minutes(10), 2};
+    const quarantine::quarantined_request written{identity, base::minutes(10), 2};
     const auto is_held = [&] {
-        return quarantine::judge(world.state.quarantine, identity.digest, world.entry().now(), {})
-                   .what == quarantine::verdict::held;
+        return quarantine::evaluate(world.state.quarantine, identity.digest, world.entry().now(),
+                                    {})
+                   .what == quarantine::verdict::quarantined;
     };
     const auto wait = [&world](base::micros span) {
         world.move_clock(span);
@@ -338,8 +339,8 @@
     const auto suspect = quarantine::identify({"/safe/x", "north", "suspect"});
     const auto other = quarantine::identify({"/safe/x", "north", "another"});
     const base::instant now = world.entry().now();
-    quarantine::note_crash(world.state.quarantine,
-                           {{{"i-9"}, {}}, now, {{suspect, now, {}}, {other, now, {}}}}, now, {});
+    quarantine::record_crash(world.state.quarantine,
+                             {{{"i-9"}, {}}, now, {{suspect, now, {}}, {other, now, {}}}}, now, {});
     quarantine::begin_trial(world.state.quarantine, other.digest, {"i-5"}, now, {});
     CHECK(world.call(tests::request("safe", "r1", "harmless")).heads.at(0).status == 200);
     CHECK(engines[0]->requests.size() == 1);
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -21,8 +21,9 @@
 constexpr base::milliseconds heartbeat_period{150};
 
 bool same_work(const fleet::workload& left, const fleet::workload& right) {
-    return left.in_flight == right.in_flight && left.unread_tokens == right.unread_tokens &&
-           left.held_tokens == right.held_tokens && left.unrepeatable == right.unrepeatable &&
+    return left.in_flight == right.in_flight &&
+           left.pending_prefill_tokens == right.pending_prefill_tokens &&
+           left.kv_tokens == right.kv_tokens && left.non_retryable == right.non_retryable &&
            left.short_prompts == right.short_prompts;
 }
 
@@ -74,7 +75,7 @@
     load.reads = std::exchange(this->context.state.unreported_reads, {});
     auto& quotas = this->context.state.quotas;
     load.uptime = std::chrono::duration_cast<base::milliseconds>(quota::uptime(quotas, now));
-    load.usage = quota::collect(quotas, now, quota_rules_of(this->context.settings));
+    load.usage = quota::collect_counts(quotas, now, quota_rules_of(this->context.settings));
     return load;
 }
 
@@ -132,8 +133,8 @@
     const base::instant until =
         now + std::max(load.report_interval * believed_periods, least_belief);
     auto& state = this->context.state;
-    quota::take_report(state.quotas, {load.from, load.age, load.uptime, load.usage}, now,
-                       quota_rules_of(this->context.settings));
+    quota::apply_report(state.quotas, {load.from, load.age, load.uptime, load.usage}, now,
+                        quota_rules_of(this->context.settings));
     if (load.complete) {
         for (auto& [id, one] : state.fleet.members) {
             one.remote_work.erase(load.from);
--- a/src/proxy/load_exchange_tests.cpp
+++ b/src/proxy/load_exchange_tests.cpp
@@ -99,15 +99,15 @@
     REQUIRE(world.tell());
     constexpr double tokens_a_ms = 100.0;
     const auto unread = [&] {
-        return fleet::estimate_unread_tokens(world.at_listener(), world.listener.entry().now(),
-                                             tokens_a_ms);
+        return fleet::estimate_pending_prefill_tokens(world.at_listener(),
+                                                      world.listener.entry().now(), tokens_a_ms);
     };
     CHECK(unread() > 5000);
     world.wait(base::milliseconds(30));
     CHECK(unread() < 3100);
     world.wait(base::milliseconds(40));
     CHECK(unread() == 0);
-    world.at_listener().local_work.unread_tokens = 700;
+    world.at_listener().local_work.pending_prefill_tokens = 700;
     CHECK(unread() == 700);
 }
 
@@ -126,7 +126,7 @@
     const auto is_heard = [&] {
         auto& quotas = world.listener.state.quotas;
         quota::silence_changes(quotas, world.listener.entry().now(), rules);
-        return quotas.heard.size() == 1;
+        return quotas.reachable.size() == 1;
     };
     constexpr base::milliseconds period{150};
     for (base::milliseconds passed{0}; passed < base::seconds(5); passed += period) {
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -88,7 +88,7 @@
     quota::listed_entries found;
     for (const auto& [id, address] : this->listed()) {
         if (id == this->context.settings.id) {
-            found.self = true;
+            found.includes_self = true;
         } else {
             found.others.insert(id);
         }
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -142,7 +142,7 @@
     linked.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     auto& engine = linked.world.state.fleet.members.at({"engine"});
     engine.listed.incarnation = {200};
-    linked.world.config.pools.at({"pool"}).engine_tokens = 100000;
+    linked.world.config.pools.at({"pool"}).kv_capacity_tokens = 100000;
     linked.world.prove_config();
     REQUIRE(linked.tick_until([&] { return linked.other && !linked.heard.empty(); }));
     constexpr std::uint64_t prompt = 9;
@@ -240,7 +240,7 @@
 
     void lose_here(const base::upstream_instance& of, const std::string& body) {
         const auto report = this->loss(of, body);
-        quarantine::note_crash(this->world.state.quarantine, report, report.at, {});
+        quarantine::record_crash(this->world.state.quarantine, report, report.at, {});
     }
 
     void lose_there(const base::upstream_instance& of, const std::string& body, base::micros late) {
@@ -251,8 +251,8 @@
 
     std::size_t held_after_a_while() {
         this->world.move_clock(base::milliseconds(400));
-        return quarantine::take_decisions(this->world.state.quarantine, this->world.entry().now(),
-                                          {})
+        return quarantine::decide_quarantines(this->world.state.quarantine,
+                                              this->world.entry().now(), {})
             .size();
     }
 };
@@ -305,8 +305,8 @@
     SECTION("a hold") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
         linked.tell_late(peering::quarantine_notice{request, base::minutes(1)}, late);
-        const auto held =
-            quarantine::held(linked.world.state.quarantine, linked.world.entry().now());
+        const auto held = quarantine::quarantined_requests(linked.world.state.quarantine,
+                                                           linked.world.entry().now());
         REQUIRE(held.size() == 1);
         CHECK(held[0].span == base::minutes(1) - late);
     }
@@ -314,7 +314,9 @@
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
         linked.tell_late(peering::quarantine_notice{request, base::milliseconds(500)}, late);
         REQUIRE(linked.told == 1);
-        CHECK(quarantine::held(linked.world.state.quarantine, linked.world.entry().now()).empty());
+        CHECK(quarantine::quarantined_requests(linked.world.state.quarantine,
+                                               linked.world.entry().now())
+                  .empty());
     }
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -89,11 +89,11 @@
         caller_handler{
             [this](const exchange_ptr& exchange) { this->on_request(exchange); },
             [this] {
-                const auto limits = this->state.config == nullptr ? routes::caller_limits{}
+                const auto limits = this->state.config == nullptr ? routes::client_limits{}
                                                                   : this->state.config->limits;
-                return caller_bounds{{static_cast<std::uint32_t>(limits.head_bytes),
+                return caller_bounds{{static_cast<std::uint32_t>(limits.header_bytes),
                                       static_cast<std::uint64_t>(limits.body_bytes)},
-                                     limits.head_timeout,
+                                     limits.header_timeout,
                                      limits.idle_timeout};
             },
             adapters::boot_now,
@@ -229,9 +229,8 @@
 
 void proxy::connect_quarantine() {
     this->crashes.tell = [this](const peering::message& message) { this->others.tell(message); };
-    this->crashes.held_back = [this](const quarantine::hold& held, bool decided_here) {
-        this->note_hold(held, decided_here);
-    };
+    this->crashes.held_back = [this](const quarantine::quarantined_request& held,
+                                     bool decided_here) { this->note_hold(held, decided_here); };
     this->others.crash_told = [this](const base::entry_id& from, const peering::crash_report& told,
                                      base::instant written) {
         this->crashes.take(from, told, written);
@@ -242,7 +241,7 @@
     };
 }
 
-void proxy::note_hold(const quarantine::hold& held, bool decided_here) {
+void proxy::note_hold(const quarantine::quarantined_request& held, bool decided_here) {
     if (decided_here) {
         this->quarantined.keep(held);
     }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -60,7 +60,7 @@
     void forget_dropped_routes();
     void take_upstreams(const char* told_by);
     void assign_lanes();
-    void note_hold(const quarantine::hold& held, bool decided_here);
+    void note_hold(const quarantine::quarantined_request& held, bool decided_here);
     void set_retry_budgets();
     // Takes who is listed and who is heard, which decides what of the quotas entries may give out.
     void follow_entries();
--- a/src/proxy/proxy_beliefs.cpp
+++ b/src/proxy/proxy_beliefs.cpp
@@ -88,7 +88,7 @@
         this->log.line(importance::keep, change.silent ? "quota_entry_silent" : "quota_entry_heard")
             .text("entry", change.entry.value)
             .number("entries", static_cast<std::int64_t>(this->state.quotas.peers.size()) + 1)
-            .number("heard", static_cast<std::int64_t>(this->state.quotas.heard.size()) + 1);
+            .number("heard", static_cast<std::int64_t>(this->state.quotas.reachable.size()) + 1);
     }
 }
 
@@ -108,8 +108,9 @@
     const auto entries = static_cast<double>(std::max<std::int64_t>(this->state.entry_count, 1));
     for (const auto& [id, pool] : this->state.config->pools) {
         auto& window = this->state.retries[id];
-        window.more = std::max(1.0, this->settings.bounds.retry_slack * retry_share / entries);
-        window.a_request = this->settings.bounds.retry_ratio * retry_share;
+        window.extra_retries =
+            std::max(1.0, this->settings.bounds.retry_slack * retry_share / entries);
+        window.retries_per_request = this->settings.bounds.retry_ratio * retry_share;
     }
 }
 
--- a/src/proxy/proxy_status.cpp
+++ b/src/proxy/proxy_status.cpp
@@ -15,7 +15,8 @@
                              {"in_flight", one.local_work.in_flight}});
     }
     nlohmann::json held = nlohmann::json::array();
-    for (const auto& one : quarantine::held(this->state.quarantine, this->context.now())) {
+    for (const auto& one :
+         quarantine::quarantined_requests(this->state.quarantine, this->context.now())) {
         held.push_back({{"digest", one.request.digest.value},
                         {"left_ms", one.span.count() / 1000},
                         {"crashes", one.crashes}});
@@ -48,8 +49,8 @@
     const auto show = [this](const char* name, const base::team_id& team, double value) {
         this->metrics.set(name, value, {{"team", team.value}});
     };
-    for (const auto& one : quota::standings(this->state.quotas, this->context.now(),
-                                            quota_rules_of(this->settings))) {
+    for (const auto& one : quota::quota_statuses(this->state.quotas, this->context.now(),
+                                                 quota_rules_of(this->settings))) {
         show("camphorrail_quota_limit_per_second", one.team, one.limit.rate_per_s);
         show("camphorrail_quota_left", one.team, one.balance);
         show("camphorrail_quota_asked_per_second", one.team, one.demand);
@@ -81,12 +82,13 @@
                       static_cast<double>(this->connections.idle_count()));
     for (const auto& [pool, window] : this->state.retries) {
         this->metrics.set("camphorrail_retries_left",
-                          admission::retries_left(window, this->context.now()),
+                          admission::remaining_retries(window, this->context.now()),
                           {{"pool", pool.value}});
     }
     this->metrics.set(
         "camphorrail_quarantined_requests",
-        static_cast<double>(quarantine::held(this->state.quarantine, this->context.now()).size()));
+        static_cast<double>(
+            quarantine::quarantined_requests(this->state.quarantine, this->context.now()).size()));
     this->refresh_weights_metric();
     this->show_quotas();
     std::int64_t fit = 0;
--- a/src/proxy/quarantine_records.cpp
+++ b/src/proxy/quarantine_records.cpp
@@ -16,7 +16,7 @@
 // The platform's store is shared. More requests than this are held back by the entries alone.
 constexpr std::size_t most_records = 64;
 
-std::string to_text(const quarantine::hold& begun) {
+std::string to_text(const quarantine::quarantined_request& begun) {
     const auto span = std::chrono::duration_cast<base::milliseconds>(begun.span);
     return json{{"body_bytes", begun.request.body_bytes},
                 {"hold_ms", span.count()},
@@ -24,7 +24,8 @@
         .dump();
 }
 
-std::optional<quarantine::hold> read_record(const std::string& digest, const std::string& text) {
+std::optional<quarantine::quarantined_request> read_record(const std::string& digest,
+                                                           const std::string& text) {
     const json read = json::parse(text, nullptr, false);
     const bool fits = read.is_object() && read.contains("body_bytes") &&
                       read["body_bytes"].is_number_unsigned() && read.contains("hold_ms") &&
@@ -33,9 +34,9 @@
     if (!fits) {
         return std::nullopt;
     }
-    return quarantine::hold{{{digest}, read["body_bytes"].get<std::size_t>()},
-                            base::milliseconds(read["hold_ms"].get<std::uint32_t>()),
-                            read["crashes"].get<std::size_t>()};
+    return quarantine::quarantined_request{{{digest}, read["body_bytes"].get<std::size_t>()},
+                                           base::milliseconds(read["hold_ms"].get<std::uint32_t>()),
+                                           read["crashes"].get<std::size_t>()};
 }
 
 } // namespace
@@ -48,13 +49,14 @@
     return this->context.codec.own_prefix + "quarantine/";
 }
 
-void quarantine_records::keep(const quarantine::hold& begun) {
+void quarantine_records::keep(const quarantine::quarantined_request& begun) {
     this->unwritten[begun.request.digest] = begun;
     this->tick();
 }
 
-std::vector<quarantine::hold> quarantine_records::read(const std::set<std::string>& keys) const {
-    std::vector<quarantine::hold> found;
+std::vector<quarantine::quarantined_request>
+quarantine_records::read(const std::set<std::string>& keys) const {
+    std::vector<quarantine::quarantined_request> found;
     const std::string below = this->prefix();
     for (const auto& key : keys) {
         const auto item = this->context.state.store.items.find(key);
@@ -83,8 +85,8 @@
 }
 
 bool quarantine_records::is_held(const base::request_digest& request) const {
-    return quarantine::judge(this->context.state.quarantine, request, this->context.now(), {})
-               .what == quarantine::verdict::held;
+    return quarantine::evaluate(this->context.state.quarantine, request, this->context.now(), {})
+               .what == quarantine::verdict::quarantined;
 }
 
 void quarantine_records::write_next() {
--- a/src/proxy/quarantine_records.h
+++ b/src/proxy/quarantine_records.h
@@ -20,9 +20,10 @@
                        std::function<bool()> leads);
 
     // Has a hold written down, now or when the store answers again.
-    void keep(const quarantine::hold& begun);
+    void keep(const quarantine::quarantined_request& begun);
     // The holds among keys that have changed in the mirror.
-    [[nodiscard]] std::vector<quarantine::hold> read(const std::set<std::string>& keys) const;
+    [[nodiscard]] std::vector<quarantine::quarantined_request>
+    read(const std::set<std::string>& keys) const;
     void tick();
 
 private:
@@ -35,7 +36,7 @@
     entry_context& context;
     ports::platform platform;
     std::function<bool()> leads;
-    std::map<base::request_digest, quarantine::hold> unwritten;
+    std::map<base::request_digest, quarantine::quarantined_request> unwritten;
     bool calling = false;
     base::instant next_call{};
 };
--- a/src/proxy/quarantine_records_tests.cpp
+++ b/src/proxy/quarantine_records_tests.cpp
@@ -46,8 +46,8 @@
     }
 };
 
-const quarantine::hold fatal{quarantine::identify({"/desk", "north", "fatal"}), base::minutes(10),
-                             2};
+const quarantine::quarantined_request fatal{quarantine::identify({"/desk", "north", "fatal"}),
+                                            base::minutes(10), 2};
 
 std::set<std::string> all_keys(const tests::proxy_world& world) {
     std::set<std::string> keys;
@@ -67,7 +67,7 @@
     bool leads = false;
     proxy::quarantine_records records(world.entry(), store.calls_to(), [&leads] { return leads; });
     const base::instant now = world.entry().now();
-    quarantine::hold_back(world.state.quarantine, fatal.request, fatal.span, now, {});
+    quarantine::impose(world.state.quarantine, fatal.request, fatal.span, now, {});
     records.keep(fatal);
     CHECK(store.calls == 1);
     const auto written = records.read(all_keys(world));
@@ -104,8 +104,7 @@
     tests::proxy_world world;
     small_store store{world.state.store};
     proxy::quarantine_records records(world.entry(), store.calls_to(), [] { return false; });
-    quarantine::hold_back(world.state.quarantine, fatal.request, fatal.span, world.entry().now(),
-                          {});
+    quarantine::impose(world.state.quarantine, fatal.request, fatal.span, world.entry().now(), {});
     store.away = true;
     records.keep(fatal);
     records.tick();
--- a/src/proxy/request_answers.cpp
+++ b/src/proxy/request_answers.cpp
@@ -111,7 +111,7 @@
     this->current->begun = true;
     this->current->begun_at = this->context.now();
     if (auto* one = this->member_of_attempt()) {
-        fleet::note_begun(one->local_work, this->work_of_attempt());
+        fleet::record_first_byte(one->local_work, this->work_of_attempt());
     }
     this->note_prompt_read();
     if (!this->first_byte) {
--- a/src/proxy/request_failures.cpp
+++ b/src/proxy/request_failures.cpp
@@ -106,7 +106,7 @@
     const auto& attempt = *this->current;
     quarantine::crash_victim victim{this->identity(), attempt.sent_at, {}};
     if (attempt.begun) {
-        victim.begun_at = attempt.begun_at;
+        victim.response_started_at = attempt.begun_at;
     }
     this->context.record_broken_attempt(
         {instance_of(attempt.choice), attempt.choice.address, std::move(victim)});
@@ -123,8 +123,8 @@
 }
 
 bool request_flow::take_retry() {
-    if (!admission::take_retry(this->context.state.retries[this->wanted.pool],
-                               this->context.now())) {
+    if (!admission::consume_retry(this->context.state.retries[this->wanted.pool],
+                                  this->context.now())) {
         this->context.metrics.count("camphorrail_retries_denied_total");
         return false;
     }
@@ -145,7 +145,7 @@
         this->prepare_to_go_on();
         if (this->was_trial) {
             // What its trial did is known in a moment; until then it may crash one upstream more.
-            this->trial_timer.set(quarantine::quarantine_rules{}.same_moment);
+            this->trial_timer.set(quarantine::quarantine_rules{}.simultaneous_window);
         } else {
             this->send_attempt();
         }
--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -89,11 +89,11 @@
     this->wanted.number = number_of(this->facts);
     this->wanted.pool = routes::choose_pool(route, this->wanted.number);
     this->wanted.target = route.target;
-    this->wanted.prompt = route.shares_prompts ? &this->facts : nullptr;
+    this->wanted.prompt = route.prompt_affinity ? &this->facts : nullptr;
     if (this->request.team != nullptr && this->request.team->isolated) {
         this->wanted.isolated_team = this->request.team->id;
     }
-    admission::note_request(this->context.state.retries[this->wanted.pool], this->context.now());
+    admission::record_request(this->context.state.retries[this->wanted.pool], this->context.now());
     if (this->stopped_by_quota()) {
         return;
     }
--- a/src/proxy/request_flow.h
+++ b/src/proxy/request_flow.h
@@ -26,7 +26,7 @@
     void break_off();
     // A request is held back from now on. Where it is this one and its upstream has not begun to
     // answer, it is called off: it may still wait there for its turn.
-    void call_off(const quarantine::hold& held);
+    void call_off(const quarantine::quarantined_request& held);
     // Sees to it that nothing begins any more on weights that are outdated for too long: the call
     // under way is taken back unless it has begun by then. To be called whenever more is known of
     // when weights were named; a call may wait at its upstream since before newer ones were.
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -264,7 +264,7 @@
         CHECK(seen.whole);
     }
     for (const auto& [id, one] : world.state.fleet.members) {
-        CHECK(one.health.ejections_in_row == 0);
+        CHECK(one.health.consecutive_ejections == 0);
     }
 }
 
@@ -355,7 +355,7 @@
 // caller could fill the memory of the entry.
 TEST_CASE("made-up models leave nothing behind", "[proxy][flow]") {
     tests::proxy_world world;
-    world.config.routes.front().shares_prompts = true;
+    world.config.routes.front().prompt_affinity = true;
     world.prove_config();
     world.add_engine("i-1", echo);
     for (int each = 0; each < 5; ++each) {
@@ -401,9 +401,9 @@
     explicit prompt_world(std::function<engine_script(const engine_request&)> answer)
         : engine(this->add_engine("i-1", std::move(answer))) {
         for (auto& route : this->config.routes) {
-            route.shares_prompts = true;
+            route.prompt_affinity = true;
         }
-        this->config.pools[{"pool"}].engine_tokens = 72000;
+        this->config.pools[{"pool"}].kv_capacity_tokens = 72000;
         this->prove_config();
         this->upstream().listed.models = {{{"desk-8b"}, 1}};
         proxy::note_named(this->state.weights[{"desk-8b"}], 1, {});
@@ -434,14 +434,14 @@
     prompt_world world(one_event);
     CHECK(world.call(prompt("stream", "r1")).heads.at(0).status == 200);
     // The engine has shown itself to be as fast as engines can be.
-    world.upstream().local_work.unread_tokens = 200000;
+    world.upstream().local_work.pending_prefill_tokens = 200000;
     const auto seen = world.call(prompt("stream", "r2"));
     CHECK(seen.heads.at(0).status == 429);
     CHECK(std::stod(std::string(http::value_of(seen.heads.at(0).all, "Retry-After"))) > 0.5);
     CHECK(world.engine.requests.size() == 1);
 
     SECTION("and served when it does") {
-        world.upstream().local_work.unread_tokens = 0;
+        world.upstream().local_work.pending_prefill_tokens = 0;
         CHECK(world.call(prompt("stream", "r3")).heads.at(0).status == 200);
     }
 }
@@ -453,7 +453,7 @@
     prompt_world world(one_event);
     constexpr std::int64_t prompt_tokens = 9190;
     // A wait of three quarters of the target, and less than half of it to read.
-    world.upstream().local_work.unread_tokens = 15000;
+    world.upstream().local_work.pending_prefill_tokens = 15000;
     auto& record = world.state.prompt_sizes["stream"];
     for (int small = 0; small < 40; ++small) {
         record.prompts.push_back({prompt_tokens / 4, true});
@@ -495,7 +495,7 @@
     CHECK(seen.heads.at(0).status == 200);
     CHECK(engines.at(left)->requests.empty());
     // It has failed nobody.
-    CHECK(world.state.fleet.members.at({left}).health.failures_in_row == 0);
+    CHECK(world.state.fleet.members.at({left}).health.consecutive_failures == 0);
 }
 
 // The stream's first engine broke off after some events. Refusing it now would lose what its caller
@@ -506,7 +506,7 @@
     prompt_world world([&](const engine_request& got) {
         const std::string id = got.field("Request-Id");
         if (++asked == 1) {
-            entry->upstream().local_work.unread_tokens += 60000;
+            entry->upstream().local_work.pending_prefill_tokens += 60000;
             return engine_script{send(tests::stream_head(id)), send(tests::chunk(events(1, 3))),
                                  close_it};
         }
@@ -517,7 +517,7 @@
     auto& second = world.state.fleet.members[{"i-2"}];
     second = world.upstream();
     second.listed.id = {"i-2"};
-    second.local_work.unread_tokens = 30000;
+    second.local_work.pending_prefill_tokens = 30000;
     const auto seen = world.call(prompt("resume", "r1"));
     CHECK(asked == 2);
     CHECK(seen.bodies.at(0) == events(1, 5));
@@ -666,7 +666,7 @@
         const auto seen = world.call(tests::request("once", "r3"));
         CHECK(seen.heads.at(0).status == 502);
         const auto& second = world.state.fleet.members.at({"i-2"});
-        CHECK(second.health.failures_in_row == 0);
+        CHECK(second.health.consecutive_failures == 0);
         CHECK(second.local_work.in_flight == 0);
     }
 }
--- a/src/proxy/request_quarantine.cpp
+++ b/src/proxy/request_quarantine.cpp
@@ -31,32 +31,33 @@
     if (!quarantine::may_be_suspect(known, this->exchange->body.size())) {
         return false;
     }
-    const auto judged = quarantine::judge(known, this->identity().digest, this->context.now(), {});
+    const auto judged =
+        quarantine::evaluate(known, this->identity().digest, this->context.now(), {});
     this->wanted.suspect = judged.what == quarantine::verdict::trial;
-    if (judged.what == quarantine::verdict::free || this->wanted.suspect) {
+    if (judged.what == quarantine::verdict::allowed || this->wanted.suspect) {
         return false;
     }
-    const bool held = judged.what == quarantine::verdict::held;
+    const bool held = judged.what == quarantine::verdict::quarantined;
     const auto number = held ? base::code::quarantined : base::code::suspect_tried;
     const char* why = held ? "quarantined" : "suspect_tried";
     this->context.log.line(importance::keep, "kept_from_upstreams")
         .text("request", this->facts.request_id)
         .text("digest", this->identity().digest.value)
         .text("why", why)
-        .span("left_ms", judged.left);
+        .span("left_ms", judged.retry_after);
     this->give_up(why, number, base::code::upstream_failed,
-                  held ? std::chrono::ceil<milliseconds>(judged.left) : trial_hint);
+                  held ? std::chrono::ceil<milliseconds>(judged.retry_after) : trial_hint);
     return true;
 }
 
 void request_flow::acquit() {
     auto& known = this->context.state.quarantine;
     if (quarantine::may_be_suspect(known, this->exchange->body.size())) {
-        quarantine::acquit(known, this->identity().digest, this->context.now());
+        quarantine::clear_suspicion(known, this->identity().digest, this->context.now());
     }
 }
 
-void request_flow::call_off(const quarantine::hold& held) {
+void request_flow::call_off(const quarantine::quarantined_request& held) {
     const bool may_begin =
         this->state == answer_state::none && this->current && !this->current->begun;
     const bool same_size = this->exchange->body.size() == held.request.body_bytes;
--- a/src/proxy/request_quota.cpp
+++ b/src/proxy/request_quota.cpp
@@ -13,7 +13,7 @@
     if (limit.unit == routes::quota_unit::requests) {
         return {1};
     }
-    return {facts.max_total_tokens.value_or(limit.plain_tokens)};
+    return {facts.max_total_tokens.value_or(limit.default_tokens)};
 }
 
 } // namespace
@@ -25,9 +25,9 @@
         return false;
     }
     const auto cost = cost_of(team->quota, this->facts);
-    const auto taken = quota::take(this->context.state.quotas, team->id, cost,
-                                   base::stable_hash(this->facts.request_id), this->context.now(),
-                                   quota_rules_of(this->context.settings));
+    const auto taken = quota::admit(this->context.state.quotas, team->id, cost,
+                                    base::stable_hash(this->facts.request_id), this->context.now(),
+                                    quota_rules_of(this->context.settings));
     if (taken.admitted) {
         this->charged = cost;
         return false;
@@ -53,8 +53,8 @@
         return;
     }
     const quota::units ran{this->charged->value * this->begun};
-    quota::settle(this->context.state.quotas, this->request.team->id, *this->charged, ran,
-                  this->context.now());
+    quota::adjust_charge(this->context.state.quotas, this->request.team->id, *this->charged, ran,
+                         this->context.now());
     this->charged.reset();
 }
 
--- a/src/proxy/request_quota_tests.cpp
+++ b/src/proxy/request_quota_tests.cpp
@@ -22,7 +22,7 @@
         this->stop_clock();
         this->config.teams = {{.id = {"north"}, .keys = {"k1"}, .quota = quota},
                               {.id = {"south"}, .keys = {"k2"}}};
-        routes::index(this->config);
+        routes::build_indexes(this->config);
         this->take_limits();
         this->move_clock(base::seconds(60));
         this->take_limits();
@@ -165,8 +165,8 @@
     }
     tell();
     const auto& account = listener.state.quotas.teams.at({"north"});
-    REQUIRE(account.told.size() == 1);
-    CHECK(account.told.at(0).used == teller.used());
+    REQUIRE(account.remote_counts.size() == 1);
+    CHECK(account.remote_counts.at(0).used == teller.used());
     CHECK(account.balance < 10'000 - 8000);
 
     SECTION("and that they are there when there is nothing else to tell") {
--- a/src/proxy/request_sending.cpp
+++ b/src/proxy/request_sending.cpp
@@ -164,7 +164,7 @@
         sent.id, sent.address, once ? base::micros(once_longest_idle) : any_longest_idle);
     if (auto* one = this->member_of_attempt()) {
         this->current->last_resort = !fleet::is_available(*one);
-        fleet::begin_work(one->local_work, this->work_of_attempt());
+        fleet::add_request(one->local_work, this->work_of_attempt());
     }
     if (this->wanted.suspect) {
         this->current->trial = true;
@@ -283,7 +283,7 @@
     this->weights_timer.clear();
     auto* one = this->member_of_attempt();
     if (one != nullptr) {
-        fleet::end_work(one->local_work, this->work_of_attempt(), this->current->begun);
+        fleet::remove_request(one->local_work, this->work_of_attempt(), this->current->begun);
     }
     if (this->current->trial) {
         quarantine::end_trial(this->context.state.quarantine, this->identity().digest);
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -63,9 +63,9 @@
 bool may_wait_long(const entry_context& context, const fleet::member& one) {
     const auto& pools = context.state.config->pools;
     const auto pool = pools.find(one.listed.pool);
-    const std::int64_t room = pool == pools.end() ? 0 : pool->second.engine_tokens;
+    const std::int64_t room = pool == pools.end() ? 0 : pool->second.kv_capacity_tokens;
     const auto work = fleet::total_work(one, context.now());
-    return static_cast<double>(work.held_tokens) > full_share * static_cast<double>(room);
+    return static_cast<double>(work.kv_tokens) > full_share * static_cast<double>(room);
 }
 
 // Since when weights can have been outdated: since newer ones were named, or else since the last
@@ -124,7 +124,7 @@
     const auto work = fleet::total_work(engine, now);
     const bool has_trial =
         std::find(trials.begin(), trials.end(), engine.listed.id) != trials.end();
-    return {has_trial, work.unrepeatable, work.in_flight};
+    return {has_trial, work.non_retryable, work.in_flight};
 }
 
 // Keeps the third of the candidates at which a crash would cost the least. Not the one alone: all
@@ -132,7 +132,7 @@
 template <class Candidate>
 void keep_safest(const entry_context& context, std::vector<Candidate>& among) {
     const base::instant now = context.now();
-    const auto trials = quarantine::trials_at(context.state.quarantine, now);
+    const auto trials = quarantine::upstreams_with_trials(context.state.quarantine, now);
     std::vector<std::pair<crash_cost, Candidate>> ranked;
     ranked.reserve(among.size());
     for (const auto& each : among) {
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -101,7 +101,7 @@
     made.unused = since < now && now - since >= max_outdated_weights_age(this->context.settings);
     made.lane = one.short_lane ? 1 : 0;
     made.change_time = weights::drain_rules{}.usual + load_time;
-    made.suspected = !membership::usable(one.health, now);
+    made.suspected = !membership::is_usable(one.health, now);
     if (const auto last = this->loaded_at.find(made.id); last != this->loaded_at.end()) {
         made.loaded_at = last->second;
     }
@@ -183,7 +183,8 @@
             continue;
         }
         found.in_flight += fleet::total_work(one, now).in_flight;
-        const bool serves = membership::usable(one.health, now) && now >= one.weights_change_until;
+        const bool serves =
+            membership::is_usable(one.health, now) && now >= one.weights_change_until;
         if (serves && &one != &changing) {
             found.slots += one.listed.slots;
         }
@@ -195,7 +196,7 @@
     if (weights::is_crowded(this->pool_load_beside(one), {})) {
         return ports::in_flight_policy::continue_on_new_weights;
     }
-    const bool may_cut = fleet::total_work(one, this->context.now()).unrepeatable == 0;
+    const bool may_cut = fleet::total_work(one, this->context.now()).non_retryable == 0;
     return may_cut ? ports::in_flight_policy::abort : ports::in_flight_policy::finish;
 }
 
@@ -216,7 +217,7 @@
             continue;
         }
         auto& one = found->second;
-        const auto unrepeatable = fleet::total_work(one, now).unrepeatable;
+        const auto unrepeatable = fleet::total_work(one, now).non_retryable;
         if (weights::is_drained({now - *order.drained_since, unrepeatable}, {})) {
             this->keep_away(one, load_time);
             this->send_order(one, model, version, known->second);
--- a/src/proxy/weights_loader_tests.cpp
+++ b/src/proxy/weights_loader_tests.cpp
@@ -122,7 +122,7 @@
     auto& other = led.world.state.fleet.members[{"i-2"}];
     other.listed = {.id = {"i-2"}, .pool = {"pool"}, .slots = 48};
     auto& work = led.member().local_work;
-    fleet::begin_work(work, {800, 800, false, true});
+    fleet::add_request(work, {800, 800, false, true});
     const auto begun = led.world.entry().now();
     const auto passed = [&] { return led.world.entry().now() - begun; };
 
@@ -133,10 +133,10 @@
         CHECK(led.member().weights_change_until > led.world.entry().now());
     }
     SECTION("once its calls that would be lost have ended") {
-        fleet::begin_work(work, {9000, 3000, true, false});
+        fleet::add_request(work, {9000, 3000, true, false});
         led.tick_until([&] { return passed() > base::milliseconds(700); });
         CHECK(led.ordered.empty());
-        fleet::end_work(work, {9000, 3000, true, false}, true);
+        fleet::remove_request(work, {9000, 3000, true, false}, true);
         REQUIRE(led.wait_for_orders(1));
         CHECK(led.ordered[0].find(R"("mode":"cut")") != std::string::npos);
     }
@@ -147,7 +147,7 @@
         CHECK(passed() < base::milliseconds(400));
     }
     SECTION("and finishes all of it where such a call takes long") {
-        fleet::begin_work(work, {9000, 3000, true, false});
+        fleet::add_request(work, {9000, 3000, true, false});
         REQUIRE(led.wait_for_orders(1));
         CHECK(led.ordered[0].find(R"("mode":"wait")") != std::string::npos);
         CHECK(passed() >= base::milliseconds(1200));
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -6,173 +6,176 @@
 
 namespace {
 
-bool is_held(const suspect& one, base::instant now) {
-    return one.held_until && now < *one.held_until;
+bool is_quarantined(const suspect& record, base::instant now) {
+    return record.quarantined_until && now < *record.quarantined_until;
 }
 
-bool has_crashed(const suspect& one, const base::upstream_instance& upstream) {
-    return std::any_of(one.crashes.begin(), one.crashes.end(),
+bool has_crash_on(const suspect& record, const base::upstream_instance& upstream) {
+    return std::any_of(record.crashes.begin(), record.crashes.end(),
                        [&upstream](const auto& each) { return each.upstream == upstream; });
 }
 
-double weight_of(const crash_victim& victim, base::instant crashed_at,
-                 const quarantine_rules& rules) {
-    const bool proven = victim.begun_at && crashed_at - *victim.begun_at > rules.proven_after;
-    return proven ? rules.weight_of_proven : 1.0;
+double crash_weight(const crash_victim& victim, base::instant crashed_at,
+                    const quarantine_rules& rules) {
+    const bool stable =
+        victim.response_started_at && crashed_at - *victim.response_started_at > rules.stable_after;
+    return stable ? rules.stable_weight : 1.0;
 }
 
 // Makes room by forgetting the suspect that has been quiet for longest, those that are held back
 // last.
-void make_room(quarantine& state, base::instant now, const quarantine_rules& rules) {
-    if (state.suspects.size() < rules.most_suspects) {
+void evict_oldest_suspect(quarantine& state, base::instant now, const quarantine_rules& rules) {
+    if (state.suspects.size() < rules.max_suspects) {
         return;
     }
     const auto rank = [now](const auto& each) {
-        return std::pair(is_held(each.second, now), each.second.last_at);
+        return std::pair(is_quarantined(each.second, now), each.second.last_event_at);
     };
     state.suspects.erase(std::min_element(
         state.suspects.begin(), state.suspects.end(),
         [&rank](const auto& left, const auto& right) { return rank(left) < rank(right); }));
 }
 
-suspect& suspect_of(quarantine& state, const request_identity& request, base::instant now,
-                    const quarantine_rules& rules) {
+suspect& find_or_add_suspect(quarantine& state, const request_identity& request, base::instant now,
+                             const quarantine_rules& rules) {
     const auto found = state.suspects.find(request.digest);
     if (found != state.suspects.end()) {
         return found->second;
     }
-    make_room(state, now, rules);
-    auto& made = state.suspects[request.digest];
-    made.request = request;
-    made.last_at = now;
-    return made;
+    evict_oldest_suspect(state, now, rules);
+    auto& added = state.suspects[request.digest];
+    added.request = request;
+    added.last_event_at = now;
+    return added;
 }
 
 // Copies that were on their way already when the first upstream crashed say no more than that one
 // did: many upstreams that crash at once are not the fault of a request that many of them ran. The
 // same goes for copies that went on from there in the same moment and broke at once.
-bool is_further_crash(const suspect& one, const crash_victim& victim, const crash_report& report,
-                      const quarantine_rules& rules) {
-    if (one.crashes.empty()) {
+bool is_independent_crash(const suspect& record, const crash_victim& victim,
+                          const crash_report& report, const quarantine_rules& rules) {
+    if (record.crashes.empty()) {
         return true;
     }
-    const base::instant before = one.crashes.back().at;
-    const bool went_on = victim.sent_at >= before;
-    const bool later = victim.sent_at >= before + rules.same_moment;
-    const bool lasted = report.at - victim.sent_at >= rules.lasts_where_alive;
-    return went_on && (later || lasted);
+    const base::instant previous_at = record.crashes.back().at;
+    const bool sent_after_previous = victim.sent_at >= previous_at;
+    const bool sent_later = victim.sent_at >= previous_at + rules.simultaneous_window;
+    const bool ran_there = report.at - victim.sent_at >= rules.min_live_run;
+    return sent_after_previous && (sent_later || ran_there);
 }
 
-void note_victim(quarantine& state, const crash_report& report, const crash_victim& victim,
-                 base::instant now, const quarantine_rules& rules) {
-    auto& one = suspect_of(state, victim.request, now, rules);
-    if (has_crashed(one, report.upstream)) {
+void record_victim(quarantine& state, const crash_report& report, const crash_victim& victim,
+                   base::instant now, const quarantine_rules& rules) {
+    auto& record = find_or_add_suspect(state, victim.request, now, rules);
+    if (has_crash_on(record, report.upstream)) {
         return;
     }
-    if (!is_further_crash(one, victim, report, rules)) {
-        one.not_before = one.crashes.back().at + rules.same_moment;
+    if (!is_independent_crash(record, victim, report, rules)) {
+        record.retry_not_before = record.crashes.back().at + rules.simultaneous_window;
         return;
     }
-    if (one.crashes.size() >= rules.most_crashes_of_one) {
-        one.crashes.erase(one.crashes.begin());
+    if (record.crashes.size() >= rules.max_crashes_per_suspect) {
+        record.crashes.erase(record.crashes.begin());
     }
-    one.crashes.push_back(
-        {report.upstream, report.at, victim.sent_at, weight_of(victim, report.at, rules)});
-    one.last_at = report.at;
+    record.crashes.push_back(
+        {report.upstream, report.at, victim.sent_at, crash_weight(victim, report.at, rules)});
+    record.last_event_at = report.at;
 }
 
 // Whether several upstreams crashed about then without the request, or more at the very moment than
 // one copy could have crashed in turn.
-bool is_of_storm(const quarantine& state, const suspect& one, const counted_crash& crash,
-                 const quarantine_rules& rules) {
-    std::size_t without_it = 0;
-    std::size_t same_moment = 0;
+bool is_unrelated_crash(const quarantine& state, const suspect& record, const counted_crash& crash,
+                        const quarantine_rules& rules) {
+    std::size_t without_request = 0;
+    std::size_t simultaneous = 0;
     for (const auto& [upstream, each] : state.crashes) {
         const auto apart = std::chrono::abs(each.at - crash.at);
-        const bool aboard = each.aboard.count(one.request.digest) > 0;
-        without_it += apart <= rules.storm_span && !aboard ? 1 : 0;
-        same_moment += apart <= rules.same_moment && upstream != crash.upstream ? 1 : 0;
+        const bool in_flight = each.in_flight.count(record.request.digest) > 0;
+        without_request += apart <= rules.unrelated_crash_window && !in_flight ? 1 : 0;
+        simultaneous += apart <= rules.simultaneous_window && upstream != crash.upstream ? 1 : 0;
     }
-    return without_it > rules.storm_crashes || same_moment > rules.storm_crashes;
+    return without_request > rules.max_unrelated_crashes ||
+           simultaneous > rules.max_unrelated_crashes;
 }
 
 // Whether the upstream had crashed, by the earliest word of any request there, before the copy was
 // sent to it.
-bool was_gone_before(const quarantine& state, const counted_crash& crash) {
+bool was_lost_before_sending(const quarantine& state, const counted_crash& crash) {
     const auto known = state.crashes.find(crash.upstream);
     return known != state.crashes.end() && known->second.at < crash.sent_at;
 }
 
 // The evidence if none of the crashes was of a storm: an upper bound that costs nothing. After many
 // upstreams have crashed together, it settles hundreds of suspects with one crash each.
-double most_evidence(const suspect& one) {
-    double evidence = one.prior_evidence;
-    for (const auto& crash : one.crashes) {
+double max_evidence(const suspect& record) {
+    double evidence = record.prior_evidence;
+    for (const auto& crash : record.crashes) {
         evidence += crash.weight;
     }
     return evidence;
 }
 
-double evidence_against(const quarantine& state, const suspect& one,
-                        const quarantine_rules& rules) {
-    double evidence = one.prior_evidence;
-    for (const auto& crash : one.crashes) {
-        const bool proves_nothing =
-            was_gone_before(state, crash) || is_of_storm(state, one, crash, rules);
-        evidence += proves_nothing ? 0.0 : crash.weight;
+double total_evidence(const quarantine& state, const suspect& record,
+                      const quarantine_rules& rules) {
+    double evidence = record.prior_evidence;
+    for (const auto& crash : record.crashes) {
+        const bool is_discounted = was_lost_before_sending(state, crash) ||
+                                   is_unrelated_crash(state, record, crash, rules);
+        evidence += is_discounted ? 0.0 : crash.weight;
     }
     return evidence;
 }
 
 // Whether another request was there as well at the last crash, and has as much against it.
-bool has_rival(const quarantine& state, const suspect& one, double evidence, base::instant now,
-               const quarantine_rules& rules) {
-    const auto crash = state.crashes.find(one.crashes.back().upstream);
+bool has_equal_suspect(const quarantine& state, const suspect& record, double evidence,
+                       base::instant now, const quarantine_rules& rules) {
+    const auto crash = state.crashes.find(record.crashes.back().upstream);
     if (crash == state.crashes.end()) {
         return false;
     }
-    const auto& aboard = crash->second.aboard;
-    return std::any_of(aboard.begin(), aboard.end(), [&](const base::request_digest& digest) {
+    const auto& in_flight = crash->second.in_flight;
+    return std::any_of(in_flight.begin(), in_flight.end(), [&](const base::request_digest& digest) {
         const auto found = state.suspects.find(digest);
-        return digest != one.request.digest && found != state.suspects.end() &&
-               !is_held(found->second, now) &&
-               evidence_against(state, found->second, rules) >= evidence;
+        return digest != record.request.digest && found != state.suspects.end() &&
+               !is_quarantined(found->second, now) &&
+               total_evidence(state, found->second, rules) >= evidence;
     });
 }
 
-bool has_enough_against(const quarantine& state, const suspect& one, base::instant now,
-                        const quarantine_rules& rules) {
-    if (one.crashes.empty() || most_evidence(one) < rules.enough) {
+bool should_quarantine(const quarantine& state, const suspect& record, base::instant now,
+                       const quarantine_rules& rules) {
+    if (record.crashes.empty() || max_evidence(record) < rules.evidence_threshold) {
         return false;
     }
-    const double evidence = evidence_against(state, one, rules);
-    if (evidence < rules.enough) {
+    const double evidence = total_evidence(state, record, rules);
+    if (evidence < rules.evidence_threshold) {
         return false;
     }
-    return evidence >= rules.enough_in_doubt || !has_rival(state, one, evidence, now, rules);
+    return evidence >= rules.ambiguous_evidence_threshold ||
+           !has_equal_suspect(state, record, evidence, now, rules);
 }
 
 // Its last crash has happened so lately that other entries may still tell of it.
-bool is_undecided(const quarantine& state, const suspect& one, base::instant now,
-                  const quarantine_rules& rules) {
-    return now - one.last_at < rules.news_delay &&
-           evidence_against(state, one, rules) >= rules.enough;
+bool awaits_reports(const quarantine& state, const suspect& record, base::instant now,
+                    const quarantine_rules& rules) {
+    return now - record.last_event_at < rules.report_delay &&
+           total_evidence(state, record, rules) >= rules.evidence_threshold;
 }
 
 // One more crash is enough to hold it back again.
-void let_go(suspect& one, const quarantine_rules& rules) {
-    one.last_at = *one.held_until;
-    one.held_until.reset();
-    one.end_unknown = false;
-    one.prior_evidence = rules.enough - 1.0;
-    one.crashes.clear();
+void release(suspect& record, const quarantine_rules& rules) {
+    record.last_event_at = *record.quarantined_until;
+    record.quarantined_until.reset();
+    record.end_unknown = false;
+    record.prior_evidence = rules.evidence_threshold - 1.0;
+    record.crashes.clear();
 }
 
 } // namespace
 
-void note_crash(quarantine& state, const crash_report& report, base::instant now,
-                const quarantine_rules& rules) {
-    if (state.crashes.count(report.upstream) == 0 && state.crashes.size() >= rules.most_crashes) {
+void record_crash(quarantine& state, const crash_report& report, base::instant now,
+                  const quarantine_rules& rules) {
+    if (state.crashes.count(report.upstream) == 0 && state.crashes.size() >= rules.max_crashes) {
         state.crashes.erase(std::min_element(
             state.crashes.begin(), state.crashes.end(),
             [](const auto& left, const auto& right) { return left.second.at < right.second.at; }));
@@ -181,47 +184,49 @@
     auto& crash = found->second;
     crash.at = is_new ? report.at : std::min(crash.at, report.at);
     for (const auto& victim : report.victims) {
-        crash.aboard.insert(victim.request.digest);
-        note_victim(state, report, victim, now, rules);
+        crash.in_flight.insert(victim.request.digest);
+        record_victim(state, report, victim, now, rules);
     }
 }
 
-std::vector<hold> take_decisions(quarantine& state, base::instant now,
-                                 const quarantine_rules& rules) {
-    std::vector<suspect*> guilty;
-    for (auto& [digest, one] : state.suspects) {
-        const bool open = !one.held_until && now - one.last_at >= rules.news_delay;
-        if (open && has_enough_against(state, one, now, rules)) {
-            guilty.push_back(&one);
+std::vector<quarantined_request> decide_quarantines(quarantine& state, base::instant now,
+                                                    const quarantine_rules& rules) {
+    std::vector<suspect*> selected;
+    for (auto& [digest, record] : state.suspects) {
+        const bool is_candidate =
+            !record.quarantined_until && now - record.last_event_at >= rules.report_delay;
+        if (is_candidate && should_quarantine(state, record, now, rules)) {
+            selected.push_back(&record);
         }
     }
-    std::vector<hold> begun;
-    for (auto* one : guilty) {
-        one->hold = std::clamp<base::micros>(2 * one->hold, rules.first_hold, rules.longest_hold);
-        one->held_until = now + one->hold;
-        begun.push_back({one->request, one->hold, one->crashes.size()});
+    std::vector<quarantined_request> started;
+    for (auto* record : selected) {
+        record->duration = std::clamp<base::micros>(2 * record->duration, rules.initial_duration,
+                                                    rules.max_duration);
+        record->quarantined_until = now + record->duration;
+        started.push_back({record->request, record->duration, record->crashes.size()});
     }
-    return begun;
+    return started;
 }
 
-void hold_back(quarantine& state, const request_identity& request, base::micros span,
-               base::instant now, const quarantine_rules& rules) {
-    auto& one = suspect_of(state, request, now, rules);
-    const auto until = now + std::min(span, rules.longest_hold);
-    if (one.held_until && !one.end_unknown && until <= *one.held_until) {
+void impose(quarantine& state, const request_identity& request, base::micros span,
+            base::instant now, const quarantine_rules& rules) {
+    auto& record = find_or_add_suspect(state, request, now, rules);
+    const auto until = now + std::min(span, rules.max_duration);
+    if (record.quarantined_until && !record.end_unknown && until <= *record.quarantined_until) {
         return;
     }
-    one.held_until = until;
-    one.hold = std::max(one.hold, rules.first_hold);
-    one.end_unknown = false;
+    record.quarantined_until = until;
+    record.duration = std::max(record.duration, rules.initial_duration);
+    record.end_unknown = false;
 }
 
-void hold_by_record(quarantine& state, const request_identity& request, base::micros span,
-                    base::instant now, const quarantine_rules& rules) {
-    if (is_held(suspect_of(state, request, now, rules), now)) {
+void impose_from_record(quarantine& state, const request_identity& request, base::micros span,
+                        base::instant now, const quarantine_rules& rules) {
+    if (is_quarantined(find_or_add_suspect(state, request, now, rules), now)) {
         return;
     }
-    hold_back(state, request, span, now, rules);
+    impose(state, request, span, now, rules);
     state.suspects.at(request.digest).end_unknown = true;
 }
 
@@ -231,24 +236,24 @@
         [body_bytes](const auto& each) { return each.second.request.body_bytes == body_bytes; });
 }
 
-judgement judge(const quarantine& state, const base::request_digest& request, base::instant now,
-                const quarantine_rules& rules) {
+evaluation evaluate(const quarantine& state, const base::request_digest& request, base::instant now,
+                    const quarantine_rules& rules) {
     const auto found = state.suspects.find(request);
     if (found == state.suspects.end()) {
         return {};
     }
-    const auto& one = found->second;
-    if (is_held(one, now)) {
-        return {verdict::held, *one.held_until - now};
+    const auto& record = found->second;
+    if (is_quarantined(record, now)) {
+        return {verdict::quarantined, *record.quarantined_until - now};
     }
-    if (now < one.tried_until) {
-        return {verdict::wait, one.tried_until - now};
+    if (now < record.trial_until) {
+        return {verdict::deferred, record.trial_until - now};
     }
-    if (now < one.not_before) {
-        return {verdict::wait, one.not_before - now};
+    if (now < record.retry_not_before) {
+        return {verdict::deferred, record.retry_not_before - now};
     }
-    if (is_undecided(state, one, now, rules)) {
-        return {verdict::wait, rules.news_delay};
+    if (awaits_reports(state, record, now, rules)) {
+        return {verdict::deferred, rules.report_delay};
     }
     return {verdict::trial, base::micros(0)};
 }
@@ -258,56 +263,56 @@
                  const quarantine_rules& rules) {
     const auto found = state.suspects.find(request);
     if (found != state.suspects.end()) {
-        found->second.tried_until = now + rules.longest_trial;
-        found->second.tried_at = upstream;
+        found->second.trial_until = now + rules.max_trial;
+        found->second.trial_upstream = upstream;
     }
 }
 
 void end_trial(quarantine& state, const base::request_digest& request) {
     const auto found = state.suspects.find(request);
     if (found != state.suspects.end()) {
-        found->second.tried_until = {};
+        found->second.trial_until = {};
     }
 }
 
-void acquit(quarantine& state, const base::request_digest& request, base::instant now) {
+void clear_suspicion(quarantine& state, const base::request_digest& request, base::instant now) {
     const auto found = state.suspects.find(request);
-    if (found != state.suspects.end() && !is_held(found->second, now)) {
+    if (found != state.suspects.end() && !is_quarantined(found->second, now)) {
         state.suspects.erase(found);
     }
 }
 
-std::vector<base::upstream_id> trials_at(const quarantine& state, base::instant now) {
+std::vector<base::upstream_id> upstreams_with_trials(const quarantine& state, base::instant now) {
     std::vector<base::upstream_id> found;
-    for (const auto& [digest, one] : state.suspects) {
-        if (now < one.tried_until) {
-            found.push_back(one.tried_at);
+    for (const auto& [digest, record] : state.suspects) {
+        if (now < record.trial_until) {
+            found.push_back(record.trial_upstream);
         }
     }
     return found;
 }
 
-std::vector<hold> held(const quarantine& state, base::instant now) {
-    std::vector<hold> found;
-    for (const auto& [digest, one] : state.suspects) {
-        if (is_held(one, now)) {
-            found.push_back(
-                {one.request, *one.held_until - now, one.crashes.size(), one.end_unknown});
+std::vector<quarantined_request> quarantined_requests(const quarantine& state, base::instant now) {
+    std::vector<quarantined_request> found;
+    for (const auto& [digest, record] : state.suspects) {
+        if (is_quarantined(record, now)) {
+            found.push_back({record.request, *record.quarantined_until - now, record.crashes.size(),
+                             record.end_unknown});
         }
     }
     return found;
 }
 
 void expire(quarantine& state, base::instant now, const quarantine_rules& rules) {
-    for (auto& [digest, one] : state.suspects) {
-        if (one.held_until && !is_held(one, now)) {
-            let_go(one, rules);
+    for (auto& [digest, record] : state.suspects) {
+        if (record.quarantined_until && !is_quarantined(record, now)) {
+            release(record, rules);
         }
     }
     std::erase_if(state.suspects, [&](const auto& each) {
         // One that was held back is remembered for as long again.
-        const auto lifetime = std::max(rules.suspicion_lifetime, each.second.hold);
-        return !each.second.held_until && now - each.second.last_at > lifetime;
+        const auto lifetime = std::max(rules.suspicion_lifetime, each.second.duration);
+        return !each.second.quarantined_until && now - each.second.last_event_at > lifetime;
     });
     std::erase_if(state.crashes, [&](const auto& each) {
         return now - each.second.at > rules.suspicion_lifetime;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -19,34 +19,34 @@
 
 struct quarantine_rules {
     // A request is held back from this much evidence on, where it alone explains the last crash.
-    double enough = 2.0;
+    double evidence_threshold = 2.0;
     // The same where another request has as much evidence against it.
-    double enough_in_doubt = 3.0;
+    double ambiguous_evidence_threshold = 3.0;
     // An attempt that had been answering for longer than this has run well for a while. Its
     // upstream's crash is half the evidence.
-    base::micros proven_after = base::seconds(1);
-    double weight_of_proven = 0.5;
+    base::micros stable_after = base::seconds(1);
+    double stable_weight = 0.5;
     // Entries have told each other of a crash within this time.
-    base::micros news_delay = base::milliseconds(150);
+    base::micros report_delay = base::milliseconds(150);
     // Where several other upstreams crash without the request at about the same time, the cause is
     // another one: a host, a power supply, another request.
-    std::size_t storm_crashes = 2;
-    base::micros storm_span = base::milliseconds(500);
+    std::size_t max_unrelated_crashes = 2;
+    base::micros unrelated_crash_window = base::milliseconds(500);
     // Upstreams that are lost together are found to be gone within this time. A copy that is sent
     // on meanwhile may meet another one that is gone already.
-    base::micros same_moment = base::milliseconds(50);
+    base::micros simultaneous_window = base::milliseconds(50);
     // One that lasted for this long had met an upstream that was alive.
-    base::micros lasts_where_alive = base::milliseconds(20);
+    base::micros min_live_run = base::milliseconds(20);
     // Without a further crash a suspicion ends after this time.
     base::micros suspicion_lifetime = base::minutes(10);
     // A copy that is being tried keeps others waiting for at most this long.
-    base::micros longest_trial = base::seconds(2);
+    base::micros max_trial = base::seconds(2);
     // Each further time that it crashes an upstream it is held back for twice as long.
-    base::micros first_hold = base::minutes(10);
-    base::micros longest_hold = base::minutes(24 * 60);
-    std::size_t most_suspects = 512;
-    std::size_t most_crashes_of_one = 8;
-    std::size_t most_crashes = 64;
+    base::micros initial_duration = base::minutes(10);
+    base::micros max_duration = base::minutes(24 * 60);
+    std::size_t max_suspects = 512;
+    std::size_t max_crashes_per_suspect = 8;
+    std::size_t max_crashes = 64;
 };
 
 // A request that was under way at an upstream when it crashed.
@@ -54,7 +54,7 @@
     request_identity request;
     base::instant sent_at{};
     // When its answer began; nothing where it had not.
-    std::optional<base::instant> begun_at;
+    std::optional<base::instant> response_started_at;
 };
 
 // A crash as one entry saw it, with its own requests.
@@ -67,7 +67,7 @@
 // A crash, with the requests of all entries that have told of it.
 struct upstream_crash {
     base::instant at{};
-    std::set<base::request_digest> aboard;
+    std::set<base::request_digest> in_flight;
 };
 
 // A crash that speaks against a request, and how much.
@@ -87,15 +87,15 @@
     // What is left against it of the time before it was last held back.
     double prior_evidence = 0.0;
     // Its last crash, or when it was last let go.
-    base::instant last_at{};
+    base::instant last_event_at{};
     // A copy that is sent before this would prove nothing.
-    base::instant not_before{};
+    base::instant retry_not_before{};
     // Until when a copy of it is being tried, and where.
-    base::instant tried_until{};
-    base::upstream_id tried_at;
+    base::instant trial_until{};
+    base::upstream_id trial_upstream;
     // Until when it is held back, if it is, and for how long in all, also the last time.
-    std::optional<base::instant> held_until;
-    base::micros hold{0};
+    std::optional<base::instant> quarantined_until;
+    base::micros duration{0};
     // It is known from a record alone, which says for how long and not since when: it ends then at
     // the latest.
     bool end_unknown = false;
@@ -107,7 +107,7 @@
 };
 
 // A request that is held back from now on.
-struct hold {
+struct quarantined_request {
     request_identity request;
     base::micros span{0};
     std::size_t crashes = 0;
@@ -116,44 +116,44 @@
 };
 
 // Takes what an entry saw of a crash, this one or another.
-void note_crash(quarantine& state, const crash_report& report, base::instant now,
-                const quarantine_rules& rules);
+void record_crash(quarantine& state, const crash_report& report, base::instant now,
+                  const quarantine_rules& rules);
 
 // Decides whom to hold back; to be asked every so often. Gives those that are held back from now
 // on.
-std::vector<hold> take_decisions(quarantine& state, base::instant now,
-                                 const quarantine_rules& rules);
+std::vector<quarantined_request> decide_quarantines(quarantine& state, base::instant now,
+                                                    const quarantine_rules& rules);
 
 // Takes another's word that a request is held back, for as long as `span` from now on.
-void hold_back(quarantine& state, const request_identity& request, base::micros span,
-               base::instant now, const quarantine_rules& rules);
+void impose(quarantine& state, const request_identity& request, base::micros span,
+            base::instant now, const quarantine_rules& rules);
 
 // Takes a record that a request is held back, for as long as `span` from when it was written. Where
 // nothing else is known of it, it holds for that long from now, or until another's word of its end.
-void hold_by_record(quarantine& state, const request_identity& request, base::micros span,
-                    base::instant now, const quarantine_rules& rules);
+void impose_from_record(quarantine& state, const request_identity& request, base::micros span,
+                        base::instant now, const quarantine_rules& rules);
 
 // Whether a request with a body of this size may be a suspect; if not, it needs no identity.
 bool may_be_suspect(const quarantine& state, std::size_t body_bytes);
 
 enum class verdict {
     // Nothing is known against it.
-    free,
+    allowed,
     // It may run, as a trial.
     trial,
     // A copy of it is being tried, or its last crash is not decided yet.
-    wait,
-    held,
+    deferred,
+    quarantined,
 };
 
-struct judgement {
-    verdict what = verdict::free;
+struct evaluation {
+    verdict what = verdict::allowed;
     // When it may be worth to ask again; for `wait` and `held`.
-    base::micros left{0};
+    base::micros retry_after{0};
 };
 
-judgement judge(const quarantine& state, const base::request_digest& request, base::instant now,
-                const quarantine_rules& rules);
+evaluation evaluate(const quarantine& state, const base::request_digest& request, base::instant now,
+                    const quarantine_rules& rules);
 
 // A suspect is sent to an upstream; `end_trial` where it has left it again.
 void begin_trial(quarantine& state, const base::request_digest& request,
@@ -162,13 +162,13 @@
 void end_trial(quarantine& state, const base::request_digest& request);
 
 // An upstream has answered it whole. One that is held back stays so until its time is over.
-void acquit(quarantine& state, const base::request_digest& request, base::instant now);
+void clear_suspicion(quarantine& state, const base::request_digest& request, base::instant now);
 
 // Upstreams at which a suspect is being tried.
-std::vector<base::upstream_id> trials_at(const quarantine& state, base::instant now);
+std::vector<base::upstream_id> upstreams_with_trials(const quarantine& state, base::instant now);
 
 // Requests that are held back, with what is left of their time.
-std::vector<hold> held(const quarantine& state, base::instant now);
+std::vector<quarantined_request> quarantined_requests(const quarantine& state, base::instant now);
 
 // Lets go those whose time is over, and forgets what is too old to matter.
 void expire(quarantine& state, base::instant now, const quarantine_rules& rules);
--- a/src/quarantine/quarantine_tests.cpp
+++ b/src/quarantine/quarantine_tests.cpp
@@ -29,8 +29,8 @@
     static base::instant at(int ms) { return base::instant(milliseconds(ms)); }
 
     void crash(const std::string& upstream, int ms, std::vector<quarantine::crash_victim> victims) {
-        quarantine::note_crash(this->state, {{{upstream}, {}}, at(ms), std::move(victims)}, at(ms),
-                               rules);
+        quarantine::record_crash(this->state, {{{upstream}, {}}, at(ms), std::move(victims)},
+                                 at(ms), rules);
     }
 
     static quarantine::crash_victim victim(const std::string& name, int sent_ms) {
@@ -38,11 +38,11 @@
     }
 
     [[nodiscard]] verdict judge(const std::string& name, int ms) const {
-        return quarantine::judge(this->state, request_named(name).digest, at(ms), rules).what;
+        return quarantine::evaluate(this->state, request_named(name).digest, at(ms), rules).what;
     }
 
     std::size_t decide(int ms) {
-        return quarantine::take_decisions(this->state, at(ms), rules).size();
+        return quarantine::decide_quarantines(this->state, at(ms), rules).size();
     }
 };
 
@@ -50,77 +50,78 @@
 
 TEST_CASE("a request under which two upstreams crash one after the other is held back",
           "[quarantine]") {
-    entry one;
-    CHECK(one.judge("fatal", 0) == verdict::free);
-    one.crash("i-1", 100, {entry::victim("fatal", 50), entry::victim("bystander", 20)});
-    CHECK(one.judge("fatal", 110) == verdict::trial);
-    CHECK(one.judge("stranger", 110) == verdict::free);
-    one.crash("i-2", 300, {entry::victim("fatal", 200)});
+    entry node;
+    CHECK(node.judge("fatal", 0) == verdict::allowed);
+    node.crash("i-1", 100, {entry::victim("fatal", 50), entry::victim("bystander", 20)});
+    CHECK(node.judge("fatal", 110) == verdict::trial);
+    CHECK(node.judge("stranger", 110) == verdict::allowed);
+    node.crash("i-2", 300, {entry::victim("fatal", 200)});
 
     SECTION("as soon as other entries have told of the crash") {
-        CHECK(one.judge("fatal", 310) == verdict::wait);
-        CHECK(one.decide(400) == 0);
-        CHECK(one.decide(460) == 1);
-        CHECK(one.judge("fatal", 470) == verdict::held);
-        CHECK(one.judge("bystander", 470) == verdict::trial);
+        CHECK(node.judge("fatal", 310) == verdict::deferred);
+        CHECK(node.decide(400) == 0);
+        CHECK(node.decide(460) == 1);
+        CHECK(node.judge("fatal", 470) == verdict::quarantined);
+        CHECK(node.judge("bystander", 470) == verdict::trial);
     }
     SECTION("which is said once, with how long it lasts") {
-        const auto begun = quarantine::take_decisions(one.state, entry::at(500), rules);
-        REQUIRE(begun.size() == 1);
-        CHECK(begun[0].span == rules.first_hold);
-        CHECK(begun[0].crashes == 2);
-        CHECK(one.decide(600) == 0);
-        CHECK(quarantine::held(one.state, entry::at(600)).size() == 1);
+        const auto started = quarantine::decide_quarantines(node.state, entry::at(500), rules);
+        REQUIRE(started.size() == 1);
+        CHECK(started[0].span == rules.initial_duration);
+        CHECK(started[0].crashes == 2);
+        CHECK(node.decide(600) == 0);
+        CHECK(quarantine::quarantined_requests(node.state, entry::at(600)).size() == 1);
     }
     SECTION("for twice as long when it does so again after its time") {
-        one.decide(500);
+        node.decide(500);
         const int over = 500 + 600000;
-        quarantine::expire(one.state, entry::at(over), rules);
-        CHECK(one.judge("fatal", over) == verdict::trial);
-        one.crash("i-3", over + 100, {entry::victim("fatal", over + 50)});
-        const auto again = quarantine::take_decisions(one.state, entry::at(over + 300), rules);
-        REQUIRE(again.size() == 1);
-        CHECK(again[0].span == 2 * rules.first_hold);
+        quarantine::expire(node.state, entry::at(over), rules);
+        CHECK(node.judge("fatal", over) == verdict::trial);
+        node.crash("i-3", over + 100, {entry::victim("fatal", over + 50)});
+        const auto retried =
+            quarantine::decide_quarantines(node.state, entry::at(over + 300), rules);
+        REQUIRE(retried.size() == 1);
+        CHECK(retried[0].span == 2 * rules.initial_duration);
     }
 }
 
 TEST_CASE("a whole answer acquits", "[quarantine]") {
-    entry one;
-    one.crash("i-1", 100, {entry::victim("r", 50)});
-    quarantine::acquit(one.state, request_named("r").digest, entry::at(150));
-    CHECK(one.judge("r", 160) == verdict::free);
-    one.crash("i-2", 300, {entry::victim("r", 200)});
-    CHECK(one.decide(600) == 0);
+    entry node;
+    node.crash("i-1", 100, {entry::victim("r", 50)});
+    quarantine::clear_suspicion(node.state, request_named("r").digest, entry::at(150));
+    CHECK(node.judge("r", 160) == verdict::allowed);
+    node.crash("i-2", 300, {entry::victim("r", 200)});
+    CHECK(node.decide(600) == 0);
 }
 
 // The failure: of two requests that died together twice, the harmless one is held back with the
 // other.
 TEST_CASE("of two that were at both crashes neither is held back before they have run apart",
           "[quarantine]") {
-    entry one;
-    one.crash("i-1", 100, {entry::victim("fatal", 50), entry::victim("harmless", 50)});
-    one.crash("i-2", 300, {entry::victim("fatal", 200)});
+    entry node;
+    node.crash("i-1", 100, {entry::victim("fatal", 50), entry::victim("harmless", 50)});
+    node.crash("i-2", 300, {entry::victim("fatal", 200)});
     // Another entry tells of its own request on the same upstream.
-    one.crash("i-2", 340, {entry::victim("harmless", 200)});
-    CHECK(one.decide(600) == 0);
-    CHECK(one.judge("harmless", 600) == verdict::trial);
+    node.crash("i-2", 340, {entry::victim("harmless", 200)});
+    CHECK(node.decide(600) == 0);
+    CHECK(node.judge("harmless", 600) == verdict::trial);
 
     SECTION("since one of them crashes a third, alone") {
-        one.crash("i-3", 700, {entry::victim("fatal", 650)});
-        CHECK(one.decide(900) == 1);
-        CHECK(one.judge("fatal", 900) == verdict::held);
-        CHECK(one.judge("harmless", 900) == verdict::trial);
+        node.crash("i-3", 700, {entry::victim("fatal", 650)});
+        CHECK(node.decide(900) == 1);
+        CHECK(node.judge("fatal", 900) == verdict::quarantined);
+        CHECK(node.judge("harmless", 900) == verdict::trial);
     }
     SECTION("or the other is answered") {
-        quarantine::acquit(one.state, request_named("harmless").digest, entry::at(650));
-        CHECK(one.decide(660) == 1);
+        quarantine::clear_suspicion(node.state, request_named("harmless").digest, entry::at(650));
+        CHECK(node.decide(660) == 1);
     }
 }
 
 // The failure: upstreams crash by themselves, several at once and again and again, and a request
 // that callers send all the while is held back for it.
 TEST_CASE("crashes of many upstreams at once speak against no request", "[quarantine]") {
-    entry one;
+    entry node;
     for (int round = 0; round < 4; ++round) {
         const int now = 3000 * round;
         for (int each = 0; each < 5; ++each) {
@@ -130,98 +131,98 @@
                 victims.push_back(entry::victim("popular", now - 20));
             }
             const std::string upstream = "i-" + std::to_string(10 * round + each);
-            one.crash(upstream, now + 20 * each, victims);
+            node.crash(upstream, now + 20 * each, victims);
         }
-        CHECK(one.decide(now + 500) == 0);
-        CHECK(one.judge("popular", now + 500) == verdict::trial);
+        CHECK(node.decide(now + 500) == 0);
+        CHECK(node.judge("popular", now + 500) == verdict::trial);
     }
 }
 
 TEST_CASE("copies that were on their way together count once", "[quarantine]") {
-    entry one;
+    entry node;
     for (int each = 0; each < 5; ++each) {
-        one.crash("i-" + std::to_string(each), 100 + 40 * each, {entry::victim("r", 90)});
+        node.crash("i-" + std::to_string(each), 100 + 40 * each, {entry::victim("r", 90)});
     }
-    CHECK(one.decide(1000) == 0);
-    CHECK(one.judge("r", 1000) == verdict::trial);
+    CHECK(node.decide(1000) == 0);
+    CHECK(node.judge("r", 1000) == verdict::trial);
 }
 
 TEST_CASE("a request that had run well for a while weighs less", "[quarantine]") {
-    entry one;
+    entry node;
     const auto streaming = [](int sent_ms) {
         return quarantine::crash_victim{request_named("long"), entry::at(sent_ms),
                                         entry::at(sent_ms + 50)};
     };
-    one.crash("i-1", 2000, {streaming(100)});
-    one.crash("i-2", 6000, {streaming(3000)});
-    CHECK(one.decide(7000) == 0);
-    one.crash("i-3", 10000, {streaming(7000)});
-    one.crash("i-4", 14000, {streaming(11000)});
-    CHECK(one.decide(15000) == 1);
+    node.crash("i-1", 2000, {streaming(100)});
+    node.crash("i-2", 6000, {streaming(3000)});
+    CHECK(node.decide(7000) == 0);
+    node.crash("i-3", 10000, {streaming(7000)});
+    node.crash("i-4", 14000, {streaming(11000)});
+    CHECK(node.decide(15000) == 1);
 }
 
 TEST_CASE("a suspect is tried one copy at a time", "[quarantine]") {
-    entry one;
-    one.crash("i-1", 100, {entry::victim("r", 50)});
+    entry node;
+    node.crash("i-1", 100, {entry::victim("r", 50)});
     const auto digest = request_named("r").digest;
-    quarantine::begin_trial(one.state, digest, {"i-2"}, entry::at(200), rules);
-    CHECK(one.judge("r", 210) == verdict::wait);
-    CHECK(quarantine::trials_at(one.state, entry::at(210)) ==
+    quarantine::begin_trial(node.state, digest, {"i-2"}, entry::at(200), rules);
+    CHECK(node.judge("r", 210) == verdict::deferred);
+    CHECK(quarantine::upstreams_with_trials(node.state, entry::at(210)) ==
           std::vector<base::upstream_id>{{"i-2"}});
 
     SECTION("until that one has ended") {
-        quarantine::end_trial(one.state, digest);
-        CHECK(one.judge("r", 220) == verdict::trial);
+        quarantine::end_trial(node.state, digest);
+        CHECK(node.judge("r", 220) == verdict::trial);
     }
     SECTION("or has taken long") {
-        CHECK(one.judge("r", 2300) == verdict::trial);
+        CHECK(node.judge("r", 2300) == verdict::trial);
     }
 }
 
 TEST_CASE("another entry's word holds a request back that never crashed anything here",
           "[quarantine]") {
-    entry one;
-    quarantine::hold_back(one.state, request_named("r"), base::seconds(60), entry::at(0), rules);
-    CHECK(one.judge("r", 10) == verdict::held);
-    CHECK(quarantine::may_be_suspect(one.state, 1));
-    CHECK_FALSE(quarantine::may_be_suspect(one.state, 2));
+    entry node;
+    quarantine::impose(node.state, request_named("r"), base::seconds(60), entry::at(0), rules);
+    CHECK(node.judge("r", 10) == verdict::quarantined);
+    CHECK(quarantine::may_be_suspect(node.state, 1));
+    CHECK_FALSE(quarantine::may_be_suspect(node.state, 2));
 
     SECTION("an older word does not shorten it") {
-        quarantine::hold_back(one.state, request_named("r"), base::seconds(1), entry::at(10),
-                              rules);
-        CHECK(one.judge("r", 30000) == verdict::held);
+        quarantine::impose(node.state, request_named("r"), base::seconds(1), entry::at(10), rules);
+        CHECK(node.judge("r", 30000) == verdict::quarantined);
     }
     SECTION("nor a whole answer to a copy that was on its way") {
-        quarantine::acquit(one.state, request_named("r").digest, entry::at(10));
-        CHECK(one.judge("r", 20) == verdict::held);
+        quarantine::clear_suspicion(node.state, request_named("r").digest, entry::at(10));
+        CHECK(node.judge("r", 20) == verdict::quarantined);
     }
     SECTION("and no word holds it back for ever") {
-        quarantine::hold_back(one.state, request_named("r"), base::minutes(1000000), entry::at(20),
-                              rules);
+        quarantine::impose(node.state, request_named("r"), base::minutes(1000000), entry::at(20),
+                           rules);
         const auto left =
-            quarantine::judge(one.state, request_named("r").digest, entry::at(20), rules).left;
-        CHECK(left <= rules.longest_hold);
+            quarantine::evaluate(node.state, request_named("r").digest, entry::at(20), rules)
+                .retry_after;
+        CHECK(left <= rules.max_duration);
     }
 }
 
 // The failure: somebody sends many requests, each of which crashes an upstream, until the entry's
 // memory is full, or until one that is held back is forgotten.
 TEST_CASE("a flood of suspects takes bounded room, and those held back stay", "[quarantine]") {
-    entry one;
-    quarantine::hold_back(one.state, request_named("held"), base::seconds(60), entry::at(0), rules);
+    entry node;
+    quarantine::impose(node.state, request_named("held"), base::seconds(60), entry::at(0), rules);
     for (int each = 0; each < 5000; ++each) {
         const std::string name = std::to_string(each);
-        one.crash("i-" + name, each, {entry::victim("r-" + name, each - 1)});
+        node.crash("i-" + name, each, {entry::victim("r-" + name, each - 1)});
     }
-    CHECK(one.state.suspects.size() <= rules.most_suspects);
-    CHECK(one.state.crashes.size() <= rules.most_crashes);
-    CHECK(one.judge("held", 5000) == verdict::held);
+    CHECK(node.state.suspects.size() <= rules.max_suspects);
+    CHECK(node.state.crashes.size() <= rules.max_crashes);
+    CHECK(node.judge("held", 5000) == verdict::quarantined);
 
     SECTION("and all of it is forgotten in time") {
-        quarantine::expire(one.state, entry::at(4000000), rules);
-        quarantine::expire(one.state, entry::at(9000000), rules);
-        CHECK(one.state.suspects.empty());
-        CHECK(one.state.crashes.empty());
+        quarantine::expire(node.state, entry::at(4000000), rules);
+        quarantine::expire(node.state, entry::at(9000000), rules);
+        CHECK(node.state.suspects.empty());
+        CHECK(node.state.crashes.empty());
     }
 }
 
@@ -229,11 +230,11 @@
 
 // Three entries before eighteen engines: two fatal requests that come again and again, among
 // others that die with the engines and come again, too. Entries hear of each other's crashes late.
-struct fleet_day {
-    explicit fleet_day(std::uint64_t seed) : random{seed} {}
+struct crash_simulation {
+    explicit crash_simulation(std::uint64_t seed) : random{seed} {}
 
     static constexpr int engines = 18;
-    static constexpr int news_ms = 30;
+    static constexpr int report_delay_ms = 30;
     static constexpr int runs_ms = 400;
     static constexpr int crash_after_ms = 60;
 
@@ -245,7 +246,7 @@
         bool fatal = false;
         bool trial = false;
     };
-    struct news {
+    struct pending_report {
         int at_ms = 0;
         std::size_t entry = 0;
         quarantine::crash_report report;
@@ -255,18 +256,18 @@
     std::array<entry, 3> entries;
     std::array<std::vector<run>, engines> running;
     std::array<int, engines> starts{};
-    std::vector<news> on_its_way;
+    std::vector<pending_report> pending_reports;
     int crashes = 0;
     int harmless = 0;
-    int harmless_held = 0;
+    int harmless_rejected = 0;
 
-    void arrive(const std::string& name, int now, bool fatal) {
+    void submit(const std::string& name, int now, bool fatal) {
         const std::size_t at = base::random_below(this->random, this->entries.size());
-        auto& one = this->entries.at(at);
-        const auto verdict = one.judge(name, now);
+        auto& node = this->entries.at(at);
+        const auto verdict = node.judge(name, now);
         this->harmless += fatal ? 0 : 1;
-        if (verdict == verdict::held || verdict == verdict::wait) {
-            this->harmless_held += fatal ? 0 : 1;
+        if (verdict == verdict::quarantined || verdict == verdict::deferred) {
+            this->harmless_rejected += fatal ? 0 : 1;
             return;
         }
         const bool trial = verdict == verdict::trial;
@@ -275,7 +276,7 @@
         const int span = fatal ? crash_after_ms : runs_ms;
         this->running.at(engine).push_back({name, at, now, now + span, fatal, trial});
         if (trial) {
-            quarantine::begin_trial(one.state, request_named(name).digest, {"e"}, entry::at(now),
+            quarantine::begin_trial(node.state, request_named(name).digest, {"e"}, entry::at(now),
                                     rules);
         }
     }
@@ -296,11 +297,11 @@
         const base::upstream_instance upstream{
             {"i-" + std::to_string(engine) + "-" + std::to_string(++this->starts.at(engine))}, {}};
         std::array<std::vector<quarantine::crash_victim>, 3> victims;
-        std::vector<std::string> again;
+        std::vector<std::string> retried;
         for (const auto& each : this->running.at(engine)) {
             victims.at(each.entry).push_back(entry::victim(each.name, each.sent_ms));
             if (!each.fatal) {
-                again.push_back(each.name);
+                retried.push_back(each.name);
             }
             if (each.trial) {
                 quarantine::end_trial(this->entries.at(each.entry).state,
@@ -313,15 +314,15 @@
                 continue;
             }
             const quarantine::crash_report report{upstream, entry::at(now), victims.at(at)};
-            quarantine::note_crash(this->entries.at(at).state, report, entry::at(now), rules);
+            quarantine::record_crash(this->entries.at(at).state, report, entry::at(now), rules);
             for (std::size_t to = 0; to < this->entries.size(); ++to) {
                 if (to != at) {
-                    this->on_its_way.push_back({now + news_ms, to, report});
+                    this->pending_reports.push_back({now + report_delay_ms, to, report});
                 }
             }
         }
-        for (const auto& name : again) {
-            this->arrive(name, now, false);
+        for (const auto& name : retried) {
+            this->submit(name, now, false);
         }
     }
 
@@ -337,37 +338,38 @@
             }
             for (const auto& each : all) {
                 if (now >= each.ends_ms) {
-                    quarantine::acquit(this->entries.at(each.entry).state,
-                                       request_named(each.name).digest, entry::at(now));
+                    quarantine::clear_suspicion(this->entries.at(each.entry).state,
+                                                request_named(each.name).digest, entry::at(now));
                 }
             }
             std::erase_if(all, [now](const run& each) { return now >= each.ends_ms; });
         }
-        for (auto& each : this->on_its_way) {
+        for (auto& each : this->pending_reports) {
             if (now >= each.at_ms) {
-                quarantine::note_crash(this->entries.at(each.entry).state, each.report,
-                                       entry::at(now), rules);
+                quarantine::record_crash(this->entries.at(each.entry).state, each.report,
+                                         entry::at(now), rules);
             }
         }
-        std::erase_if(this->on_its_way, [now](const news& each) { return now >= each.at_ms; });
+        std::erase_if(this->pending_reports,
+                      [now](const pending_report& each) { return now >= each.at_ms; });
         if (now % 100 == 0) {
-            for (auto& one : this->entries) {
-                one.decide(now);
+            for (auto& node : this->entries) {
+                node.decide(now);
             }
         }
     }
 
-    void play() {
+    void simulate() {
         for (int now = 0; now < 20000; now += 5) {
             this->step(now);
             if (base::random_unit(this->random) < 0.8) {
-                this->arrive("harmless-" + std::to_string(now), now, false);
+                this->submit("harmless-" + std::to_string(now), now, false);
             }
             if (now % 200 == 0) {
-                this->arrive("fatal-a", now, true);
+                this->submit("fatal-a", now, true);
             }
             if (now % 700 == 0) {
-                this->arrive("fatal-b", now, true);
+                this->submit("fatal-b", now, true);
             }
         }
     }
@@ -381,13 +383,13 @@
           "[quarantine][fleet]") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         CAPTURE(seed);
-        fleet_day day(seed);
-        day.play();
+        crash_simulation simulation(seed);
+        simulation.simulate();
         // Two requests, each held back after three sequential crashes at the latest; copies that
         // are on their way already when it is decided may add to them.
-        CHECK(day.crashes <= 2 * 6);
-        CHECK(day.harmless > 3000);
-        CHECK(day.harmless_held <= 5);
+        CHECK(simulation.crashes <= 2 * 6);
+        CHECK(simulation.harmless > 3000);
+        CHECK(simulation.harmless_rejected <= 5);
     }
 }
 
@@ -396,20 +398,20 @@
 // Three entries before eight engines. One harmless request has nine copies under way all the time;
 // five engines are lost in one moment, twice, and others take their places a while later. A copy
 // that breaks goes on at once, before the entry knows which other engines are gone.
-struct lost_rack_day {
-    explicit lost_rack_day(std::uint64_t seed) : random{seed} {}
+struct rack_failure_simulation {
+    explicit rack_failure_simulation(std::uint64_t seed) : random{seed} {}
 
     static constexpr int engines = 8;
     static constexpr int lost_at_once = 5;
     static constexpr int copies = 9;
     static constexpr int runs_ms = 600;
-    static constexpr int news_ms = 30;
+    static constexpr int report_delay_ms = 30;
     static constexpr int refuses_after_ms = 5;
     static constexpr int replaced_after_ms = 1500;
     static constexpr int first_loss_ms = 5000;
     static constexpr int second_loss_ms = 9000;
     static constexpr int end_ms = 14000;
-    static constexpr int come_back_ms = 300;
+    static constexpr int retry_after_ms = 300;
 
     struct copy {
         std::size_t entry = 0;
@@ -417,7 +419,7 @@
         int sent_ms = 0;
         bool trial = false;
     };
-    struct news {
+    struct pending_report {
         int at_ms = 0;
         std::size_t entry = 0;
         quarantine::crash_report report;
@@ -425,61 +427,61 @@
 
     base::random_source random;
     std::array<entry, 3> entries;
-    std::array<int, engines> life{};
-    std::array<int, engines> gone_until{};
+    std::array<int, engines> incarnations{};
+    std::array<int, engines> down_until{};
     // Engines that an entry has found to be gone.
-    std::array<std::set<std::size_t>, 3> known_gone;
+    std::array<std::set<std::size_t>, 3> known_down;
     std::vector<copy> running;
     std::vector<int> arrivals;
-    std::vector<news> on_its_way;
-    int asked_afterwards = 0;
-    int served_afterwards = 0;
+    std::vector<pending_report> pending_reports;
+    int requests_after_loss = 0;
+    int served_after_loss = 0;
 
-    [[nodiscard]] bool is_gone(std::size_t engine, int now) const {
-        return now < this->gone_until.at(engine);
+    [[nodiscard]] bool is_down(std::size_t engine, int now) const {
+        return now < this->down_until.at(engine);
     }
 
     [[nodiscard]] bool refuses(std::size_t engine, int now) const {
-        return this->is_gone(engine, now) &&
-               now >= this->gone_until.at(engine) - replaced_after_ms + refuses_after_ms;
+        return this->is_down(engine, now) &&
+               now >= this->down_until.at(engine) - replaced_after_ms + refuses_after_ms;
     }
 
     void send(std::size_t at, int now) {
-        auto& one = this->entries.at(at);
-        const auto judged = one.judge("popular", now);
-        const bool refused = judged == verdict::held || judged == verdict::wait;
-        this->asked_afterwards += now > second_loss_ms + 1000 ? 1 : 0;
+        auto& node = this->entries.at(at);
+        const auto outcome = node.judge("popular", now);
+        const bool refused = outcome == verdict::quarantined || outcome == verdict::deferred;
+        this->requests_after_loss += now > second_loss_ms + 1000 ? 1 : 0;
         if (refused) {
-            this->arrivals.push_back(now + come_back_ms);
+            this->arrivals.push_back(now + retry_after_ms);
             return;
         }
         std::size_t engine = base::random_below(this->random, engines);
-        while (this->known_gone.at(at).count(engine) > 0 || this->refuses(engine, now)) {
+        while (this->known_down.at(at).count(engine) > 0 || this->refuses(engine, now)) {
             engine = base::random_below(this->random, engines);
         }
-        const bool trial = judged == verdict::trial;
+        const bool trial = outcome == verdict::trial;
         if (trial) {
-            quarantine::begin_trial(one.state, request_named("popular").digest, {"e"},
+            quarantine::begin_trial(node.state, request_named("popular").digest, {"e"},
                                     entry::at(now), rules);
         }
         this->running.push_back({at, engine, now, trial});
     }
 
-    void broken(const copy& lost, int now) {
-        auto& one = this->entries.at(lost.entry);
-        this->known_gone.at(lost.entry).insert(lost.engine);
+    void handle_lost_copy(const copy& lost, int now) {
+        auto& node = this->entries.at(lost.entry);
+        this->known_down.at(lost.entry).insert(lost.engine);
         if (lost.trial) {
-            quarantine::end_trial(one.state, request_named("popular").digest);
+            quarantine::end_trial(node.state, request_named("popular").digest);
         }
-        const base::upstream_instance upstream{
-            {"i-" + std::to_string(lost.engine) + "-" + std::to_string(this->life.at(lost.engine))},
-            {}};
+        const base::upstream_instance upstream{{"i-" + std::to_string(lost.engine) + "-" +
+                                                std::to_string(this->incarnations.at(lost.engine))},
+                                               {}};
         const quarantine::crash_report report{
             upstream, entry::at(now), {entry::victim("popular", lost.sent_ms)}};
-        quarantine::note_crash(one.state, report, entry::at(now), rules);
+        quarantine::record_crash(node.state, report, entry::at(now), rules);
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
             if (to != lost.entry) {
-                this->on_its_way.push_back({now + news_ms, to, report});
+                this->pending_reports.push_back({now + report_delay_ms, to, report});
             }
         }
         this->send(lost.entry, now);
@@ -487,15 +489,15 @@
 
     void lose_engines(int now) {
         for (std::size_t engine = 0; engine < lost_at_once; ++engine) {
-            this->gone_until.at(engine) = now + replaced_after_ms;
+            this->down_until.at(engine) = now + replaced_after_ms;
         }
     }
 
-    void take_back(int now) {
+    void restore_engines(int now) {
         for (std::size_t engine = 0; engine < engines; ++engine) {
-            if (this->gone_until.at(engine) == now) {
-                ++this->life.at(engine);
-                for (auto& each : this->known_gone) {
+            if (this->down_until.at(engine) == now) {
+                ++this->incarnations.at(engine);
+                for (auto& each : this->known_down) {
                     each.erase(engine);
                 }
             }
@@ -506,27 +508,28 @@
         if (now == first_loss_ms || now == second_loss_ms) {
             this->lose_engines(now);
         }
-        this->take_back(now);
+        this->restore_engines(now);
         const auto before = std::exchange(this->running, {});
         for (const auto& each : before) {
-            if (this->is_gone(each.engine, now)) {
-                this->broken(each, now);
+            if (this->is_down(each.engine, now)) {
+                this->handle_lost_copy(each, now);
             } else if (now >= each.sent_ms + runs_ms) {
-                quarantine::acquit(this->entries.at(each.entry).state,
-                                   request_named("popular").digest, entry::at(now));
-                this->served_afterwards += now > second_loss_ms + 1000 ? 1 : 0;
+                quarantine::clear_suspicion(this->entries.at(each.entry).state,
+                                            request_named("popular").digest, entry::at(now));
+                this->served_after_loss += now > second_loss_ms + 1000 ? 1 : 0;
                 this->arrivals.push_back(now);
             } else {
                 this->running.push_back(each);
             }
         }
-        for (auto& each : this->on_its_way) {
+        for (auto& each : this->pending_reports) {
             if (now >= each.at_ms) {
-                quarantine::note_crash(this->entries.at(each.entry).state, each.report,
-                                       entry::at(now), rules);
+                quarantine::record_crash(this->entries.at(each.entry).state, each.report,
+                                         entry::at(now), rules);
             }
         }
-        std::erase_if(this->on_its_way, [now](const news& each) { return now >= each.at_ms; });
+        std::erase_if(this->pending_reports,
+                      [now](const pending_report& each) { return now >= each.at_ms; });
         const auto due = std::exchange(this->arrivals, {});
         for (const int at_ms : due) {
             if (now >= at_ms) {
@@ -536,13 +539,13 @@
             }
         }
         if (now % 100 == 0) {
-            for (auto& one : this->entries) {
-                one.decide(now);
+            for (auto& node : this->entries) {
+                node.decide(now);
             }
         }
     }
 
-    void play() {
+    void simulate() {
         this->arrivals.assign(copies, 0);
         for (int now = 0; now < end_ms; ++now) {
             this->step(now);
@@ -558,22 +561,23 @@
           "[quarantine][fleet]") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         CAPTURE(seed);
-        lost_rack_day day(seed);
-        day.play();
-        CHECK(day.asked_afterwards > 20);
-        CHECK(day.served_afterwards > 0.95 * day.asked_afterwards - lost_rack_day::copies);
-        for (const auto& one : day.entries) {
-            CHECK(one.judge("popular", lost_rack_day::end_ms) != verdict::held);
+        rack_failure_simulation simulation(seed);
+        simulation.simulate();
+        CHECK(simulation.requests_after_loss > 20);
+        CHECK(simulation.served_after_loss >
+              0.95 * simulation.requests_after_loss - rack_failure_simulation::copies);
+        for (const auto& node : simulation.entries) {
+            CHECK(node.judge("popular", rack_failure_simulation::end_ms) != verdict::quarantined);
         }
     }
 }
 
 TEST_CASE("a copy proves nothing of an upstream that was lost before it was sent", "[quarantine]") {
-    entry one;
-    one.crash("i-1", 100, {entry::victim("r", 50)});
+    entry node;
+    node.crash("i-1", 100, {entry::victim("r", 50)});
     // Another entry's word comes late: that upstream had been lost all along.
-    one.crash("i-2", 300, {entry::victim("r", 250)});
-    one.crash("i-2", 200, {entry::victim("stranger", 20)});
-    CHECK(one.decide(600) == 0);
-    CHECK(one.judge("r", 600) == verdict::trial);
+    node.crash("i-2", 300, {entry::victim("r", 250)});
+    node.crash("i-2", 200, {entry::victim("stranger", 20)});
+    CHECK(node.decide(600) == 0);
+    CHECK(node.judge("r", 600) == verdict::trial);
 }
--- a/src/quarantine/request_identity.h
+++ b/src/quarantine/request_identity.h
@@ -20,12 +20,12 @@
 };
 
 // The parts of a request that make its identity. `caller` is its team where it has one.
-struct identified_parts {
+struct identity_parts {
     std::string_view path;
-    std::string_view caller;
+    std::string_view client;
     std::string_view body;
 };
 
-request_identity identify(const identified_parts& parts);
+request_identity identify(const identity_parts& parts);
 
 } // namespace camphorrail::quarantine
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -39,58 +39,58 @@
 };
 
 struct quota_rules {
-    tolerance allowed;
+    tolerance window_tolerance;
     // Part of the tolerance that teams are given; the rest is for what entries learn late.
-    double tolerance_used = 0.4;
+    double tolerance_fraction = 0.4;
     // Where operators look at windows, a team may use all that a window allows, its burst included,
     // in each of them. This part of what goes beyond its rate is given out evenly, the rest as the
     // size of the bucket.
-    double steady_part = 0.7;
+    double steady_fraction = 0.7;
     // A bucket that is above or below empty is brought back there within this time.
-    base::micros balance_time = base::milliseconds(500);
+    base::micros rebalance_time = base::milliseconds(500);
     // A team owes at most what it is given in this time.
-    base::micros longest_debt = base::seconds(2);
+    base::micros max_debt_time = base::seconds(2);
     // Demand is averaged over this time.
-    base::micros demand_time = base::seconds(1);
+    base::micros demand_window = base::seconds(1);
     // Entries have told each other of what they let through within this time.
-    base::micros news_delay = base::milliseconds(150);
+    base::micros report_delay = base::milliseconds(150);
     // An entry that has told nothing for this long may have been cut off. The more entries there
     // are, the less often they tell.
-    base::micros silence = base::milliseconds(600);
-    base::micros silence_an_entry = base::milliseconds(3);
+    base::micros silence_timeout = base::milliseconds(600);
+    base::micros silence_timeout_per_entry = base::milliseconds(3);
     // One that is cut off and no longer listed serves no callers after this time.
-    base::micros longest_unlisted = base::seconds(6);
+    base::micros unlisted_timeout = base::seconds(6);
     // Part of the limit that is reserved for silent entries alike, whatever they were asked for.
-    double even_part = 0.25;
+    double even_fraction = 0.25;
     // Entries that start at once know of each other this long after they are listed themselves.
     // Until then each takes a small part.
     base::micros list_delay = base::milliseconds(150);
     double unsettled_share = 1.0 / 32;
     // An entry that has run for this long and is not listed goes by the list as it is.
-    base::micros longest_settling = base::seconds(10);
+    base::micros max_settling_time = base::seconds(10);
     // Who is silent is looked at this often.
-    base::micros silence_period = base::milliseconds(20);
+    base::micros silence_check_interval = base::milliseconds(20);
     // Callers of a request that is larger than its team's quota are told to wait for this long.
-    base::micros longest_unservable = base::minutes(1);
+    base::micros unservable_retry_after = base::minutes(1);
     // A count is told once an entry has been asked for its part of this much of the bucket, and
     // when it has changed at all after the longer time; again after the longest, in case it was
     // lost.
-    double told_part = 0.5;
-    base::micros told_late = base::milliseconds(500);
-    base::micros told_again = base::seconds(2);
+    double report_fraction = 0.5;
+    base::micros max_report_delay = base::milliseconds(500);
+    base::micros report_refresh_interval = base::seconds(2);
     // A count that has not changed for this long is dropped.
-    base::micros idle_count = base::seconds(20);
+    base::micros idle_timeout = base::seconds(20);
 };
 
 // What an entry has let through, and was asked for, of one team since it began to count.
 struct usage_count {
     base::team_id team;
     // Tells this count from an earlier one of the same entry.
-    std::int64_t number = 0;
+    std::int64_t count_id = 0;
     // How long ago it began.
     base::micros age{0};
     units used;
-    units asked;
+    units requested;
 };
 
 // What one entry tells the others.
@@ -110,20 +110,20 @@
     std::uint32_t index = 0;
     bool listed = false;
     // When what it told last was written; nothing where it has told nothing.
-    std::optional<base::instant> heard_at;
+    std::optional<base::instant> last_report_at;
     base::sender_clock clock;
     base::instant known_since{};
     bool silent = true;
 };
 
 // What another entry has told of one team.
-struct told_count {
+struct remote_count {
     std::uint32_t entry = 0;
-    std::int64_t number = 0;
+    std::int64_t count_id = 0;
     // How old the count was by the teller's clock.
     base::micros age{0};
     std::int64_t used = 0;
-    std::int64_t asked = 0;
+    std::int64_t requested = 0;
     // What it is asked for, in units a second, and when it told so.
     double demand = 0.0;
     base::instant at{};
@@ -142,24 +142,24 @@
     routes::team_quota limit;
     // Units left of the whole bucket by all that is known; below 0 where more was let through.
     double balance = 0.0;
-    base::instant filled_at{};
+    base::instant refilled_at{};
     // This entry's count, and when it began.
-    std::int64_t number = 0;
-    base::instant began{};
+    std::int64_t count_id = 0;
+    base::instant count_started_at{};
     base::instant changed_at{};
     std::int64_t used = 0;
-    std::int64_t asked = 0;
+    std::int64_t requested = 0;
     // Of the requests refused here.
     std::int64_t refused = 0;
     // Since it was last told.
-    std::int64_t asked_untold = 0;
-    bool untold = false;
-    base::instant told_at{};
+    std::int64_t unreported_requested = 0;
+    bool unreported = false;
+    base::instant reported_at{};
     double own_demand = 0.0;
     base::instant own_demand_at{};
-    std::vector<recent_use> recent;
+    std::vector<recent_use> recent_uses;
     // Other entries' counts, in the order of their index.
-    std::vector<told_count> told;
+    std::vector<remote_count> remote_counts;
 };
 
 // Another entry has fallen silent, or is heard again.
@@ -180,7 +180,7 @@
     // Not yet given by `silence_changes`.
     std::vector<silence_change> changes;
     // Indices of the entries that are heard.
-    std::set<std::uint32_t> heard;
+    std::set<std::uint32_t> reachable;
     std::map<base::entry_id, peer_entry> peers;
     std::map<base::team_id, team_account> teams;
 };
@@ -193,7 +193,7 @@
 struct listed_entries {
     std::set<base::entry_id> others;
     // This entry is one of them, in this life or an earlier one.
-    bool self = false;
+    bool includes_self = false;
 };
 void set_entries(ledger& state, const listed_entries& listed, base::instant now,
                  const quota_rules& rules);
@@ -213,22 +213,23 @@
 
 // Decides on a request and, where it is admitted, charges the team. `lot`, any number that differs
 // between requests, draws which of them are refused. Teams without an account are admitted.
-decision take(ledger& state, const base::team_id& team, units cost, std::uint64_t lot,
-              base::instant now, const quota_rules& rules);
+decision admit(ledger& state, const base::team_id& team, units cost, std::uint64_t draw_key,
+               base::instant now, const quota_rules& rules);
 
 // Corrects a charge once it is known what upstreams ran of the request.
-void settle(ledger& state, const base::team_id& team, units charged, units ran, base::instant now);
+void adjust_charge(ledger& state, const base::team_id& team, units charged, units ran,
+                   base::instant now);
 
 // Takes what another entry told, itself or through a third one.
-void take_report(ledger& state, const usage_report& report, base::instant now,
-                 const quota_rules& rules);
+void apply_report(ledger& state, const usage_report& report, base::instant now,
+                  const quota_rules& rules);
 
 // How long this entry has been counting.
 base::micros uptime(const ledger& state, base::instant now);
 
 // The counts to tell now: those that have changed by enough to matter, or long ago. Drops those
 // that have long been idle.
-std::vector<usage_count> collect(ledger& state, base::instant now, const quota_rules& rules);
+std::vector<usage_count> collect_counts(ledger& state, base::instant now, const quota_rules& rules);
 
 // Finds out who is heard; to be asked every so often. Gives what has changed since it was last
 // asked.
@@ -236,7 +237,7 @@
                                             const quota_rules& rules);
 
 // One team's quota as operators are shown it.
-struct team_standing {
+struct team_quota_status {
     base::team_id team;
     routes::team_quota limit;
     double balance = 0.0;
@@ -245,7 +246,7 @@
     std::int64_t used = 0;
     std::int64_t refused = 0;
 };
-std::vector<team_standing> standings(const ledger& state, base::instant now,
-                                     const quota_rules& rules);
+std::vector<team_quota_status> quota_statuses(const ledger& state, base::instant now,
+                                              const quota_rules& rules);
 
 } // namespace camphorrail::quota
--- a/src/quota/quota_fleet_tests.cpp
+++ b/src/quota/quota_fleet_tests.cpp
@@ -22,7 +22,7 @@
 const base::team_id calm{"calm"};
 
 constexpr int step_ms = 10;
-constexpr int tell_period_ms = 50;
+constexpr int report_period_ms = 50;
 constexpr int window_ms = 8000;
 // A lower limit binds one window after this time.
 constexpr int config_ms = 3000;
@@ -31,14 +31,14 @@
 // Entries that tell each other what they let through, over links that are late and stand still,
 // with entries that are cut off, stand still, start again, come and go; and callers of two teams,
 // whose demand differs between the entries and changes all the time. All by one seed.
-struct quota_fleet {
+struct quota_simulation {
     struct node {
         quota::ledger state;
         base::entry_id id;
-        int began_ms = 0;
-        int frozen_until = 0;
+        int started_ms = 0;
+        int paused_until = 0;
         int down_until = 0;
-        int cut_until = 0;
+        int partitioned_until = 0;
         // Its place on the platform's list stands from then on.
         int listed_from = -100'000;
         // Part of the callers that come here.
@@ -60,29 +60,29 @@
     base::random_source random;
     quota::quota_rules rules;
     std::vector<node> nodes;
-    std::vector<message> on_its_way;
-    std::map<std::pair<std::size_t, std::size_t>, int> link_stands_until;
+    std::vector<message> pending_messages;
+    std::map<std::pair<std::size_t, std::size_t>, int> link_stalled_until;
     std::map<base::team_id, std::vector<run>> runs;
     std::map<base::team_id, std::vector<std::pair<int, double>>> limits;
     std::map<base::team_id, double> demand;
     std::int64_t request_size = 0;
     bool faults = true;
     std::uint64_t requests = 0;
-    std::int64_t asked = 0;
-    std::int64_t through = 0;
+    std::int64_t requested = 0;
+    std::int64_t admitted = 0;
     std::int64_t refused_calm = 0;
-    std::int64_t asked_calm = 0;
+    std::int64_t requested_calm = 0;
 
     // `slack`: as a part of the rate.
-    quota_fleet(std::uint64_t seed, std::size_t entries, double rate, double slack = 1.0)
+    quota_simulation(std::uint64_t seed, std::size_t entries, double rate, double slack = 1.0)
         : random{seed} {
-        this->rules.allowed = {milliseconds(window_ms), excess, rate * slack};
+        this->rules.window_tolerance = {milliseconds(window_ms), excess, rate * slack};
         this->request_size = static_cast<std::int64_t>(rate / 60);
         this->nodes.resize(entries);
         for (std::size_t each = 0; each < entries; ++each) {
             this->nodes[each].id = {"entry-" + std::to_string(each)};
             this->nodes[each].weight = 0.2 + base::random_unit(this->random) * 2;
-            this->nodes[each].began_ms = -60'000;
+            this->nodes[each].started_ms = -60'000;
         }
         this->limits[busy] = {{-100'000, rate}};
         this->limits[calm] = {{-100'000, rate}};
@@ -104,7 +104,7 @@
         return this->limits.at(team).back().second;
     }
 
-    void set_limits(node& one, int now) {
+    void set_limits(node& node_state, int now) {
         std::vector<routes::team> teams;
         for (const auto& id : {busy, calm}) {
             routes::team team;
@@ -113,91 +113,92 @@
             team.quota = {routes::quota_unit::tokens, rate, rate, 1};
             teams.push_back(team);
         }
-        quota::set_limits(one.state, teams, at(now), this->rules);
+        quota::set_limits(node_state.state, teams, at(now), this->rules);
     }
 
-    void start(node& one, int now) {
-        one.state = {};
-        one.began_ms = now;
-        this->set_limits(one, now);
-        this->list_entries(one, now);
+    void start(node& node_state, int now) {
+        node_state.state = {};
+        node_state.started_ms = now;
+        this->set_limits(node_state, now);
+        this->list_entries(node_state, now);
     }
 
-    void list_entries(node& one, int now) {
+    void list_entries(node& node_state, int now) {
         quota::listed_entries listed;
         for (const auto& each : this->nodes) {
             if (now < each.listed_from) {
                 continue;
             }
-            if (each.id == one.id) {
-                listed.self = true;
+            if (each.id == node_state.id) {
+                listed.includes_self = true;
             } else {
                 listed.others.insert(each.id);
             }
         }
-        quota::set_entries(one.state, listed, at(now), this->rules);
+        quota::set_entries(node_state.state, listed, at(now), this->rules);
     }
 
-    static bool runs_at(const node& one, int now) {
-        return now >= one.frozen_until && now >= one.down_until;
+    static bool is_running(const node& node_state, int now) {
+        return now >= node_state.paused_until && now >= node_state.down_until;
     }
 
-    void tell(std::size_t from, int now) {
-        auto& one = this->nodes[from];
-        quota::usage_report report{one.id, {}, milliseconds(now - one.began_ms), {}};
-        report.counts = quota::collect(one.state, at(now), this->rules);
+    void send_reports(std::size_t from, int now) {
+        auto& node_state = this->nodes[from];
+        quota::usage_report report{
+            node_state.id, {}, milliseconds(now - node_state.started_ms), {}};
+        report.counts = quota::collect_counts(node_state.state, at(now), this->rules);
         for (std::size_t to = 0; to < this->nodes.size(); ++to) {
             if (to != from) {
                 // A link keeps its order: what is lost on the way comes late, and all after it.
-                auto& stands = this->link_stands_until[{from, to}];
-                const int arrives = std::max(now + 1 + this->below(30), stands);
-                stands = arrives;
-                this->on_its_way.push_back({arrives, to, report});
+                auto& stalled_until = this->link_stalled_until[{from, to}];
+                const int arrives_ms = std::max(now + 1 + this->below(30), stalled_until);
+                stalled_until = arrives_ms;
+                this->pending_messages.push_back({arrives_ms, to, report});
             }
         }
     }
 
     void deliver(int now) {
         std::vector<message> left;
-        for (auto& each : this->on_its_way) {
+        for (auto& each : this->pending_messages) {
             auto& to = this->nodes[each.to];
-            const auto from =
-                std::find_if(this->nodes.begin(), this->nodes.end(),
-                             [&each](const node& one) { return one.id == each.report.from; });
-            const bool cut = now < to.cut_until || now < from->cut_until;
-            if (now < each.at_ms || cut || now < to.frozen_until) {
+            const auto from = std::find_if(
+                this->nodes.begin(), this->nodes.end(),
+                [&each](const node& node_state) { return node_state.id == each.report.from; });
+            const bool partitioned = now < to.partitioned_until || now < from->partitioned_until;
+            if (now < each.at_ms || partitioned || now < to.paused_until) {
                 left.push_back(std::move(each));
                 continue;
             }
             if (now < to.down_until) {
                 continue;
             }
-            quota::take_report(to.state, each.report, at(now), this->rules);
+            quota::apply_report(to.state, each.report, at(now), this->rules);
         }
-        this->on_its_way = std::move(left);
+        this->pending_messages = std::move(left);
     }
 
-    void ask(const base::team_id& team, node& one, int now) {
+    void submit(const base::team_id& team, node& node_state, int now) {
         const std::int64_t cost =
             this->request_size / 2 + this->below(static_cast<int>(this->request_size));
-        const auto taken =
-            quota::take(one.state, team, {cost}, base::stable_hash("request", ++this->requests),
-                        at(now), this->rules);
+        const auto result =
+            quota::admit(node_state.state, team, {cost},
+                         base::stable_hash("request", ++this->requests), at(now), this->rules);
         if (team == calm) {
-            this->asked_calm += 1;
-            this->refused_calm += taken.admitted ? 0 : 1;
+            this->requested_calm += 1;
+            this->refused_calm += result.admitted ? 0 : 1;
         } else {
-            this->asked += cost;
+            this->requested += cost;
         }
-        if (!taken.admitted) {
+        if (!result.admitted) {
             return;
         }
         constexpr int one_in = 12;
         if (this->below(one_in) == 0) {
-            quota::settle(one.state, team, {cost}, {0}, at(now));
+            quota::adjust_charge(node_state.state, team, {cost}, {0}, at(now));
             return;
         }
-        this->through += team == busy ? cost : 0;
+        this->admitted += team == busy ? cost : 0;
         this->runs[team].push_back({now, cost});
     }
 
@@ -205,7 +206,7 @@
         std::vector<std::size_t> up;
         double weights = 0.0;
         for (std::size_t each = 0; each < this->nodes.size(); ++each) {
-            if (runs_at(this->nodes[each], now)) {
+            if (is_running(this->nodes[each], now)) {
                 up.push_back(each);
                 weights += this->nodes[each].weight;
             }
@@ -220,32 +221,32 @@
                     drawn -= this->nodes[up[pick]].weight;
                     ++pick;
                 }
-                this->ask(team, this->nodes[up[pick]], now);
+                this->submit(team, this->nodes[up[pick]], now);
             }
         }
     }
 
-    void break_something(int now) {
+    void inject_fault(int now) {
         const auto any = [this]() -> node& {
             return this->nodes[base::random_below(this->random, this->nodes.size())];
         };
         switch (this->below(9)) {
         case 0:
-            any().frozen_until = now + 500 + this->below(5000);
+            any().paused_until = now + 500 + this->below(5000);
             break;
         case 1:
-            any().cut_until = now + 500 + this->below(4000);
+            any().partitioned_until = now + 500 + this->below(4000);
             break;
         case 2: {
-            auto& one = any();
-            one.down_until = now + 200 + this->below(2000);
+            auto& node_state = any();
+            node_state.down_until = now + 200 + this->below(2000);
             break;
         }
         case 3:
             // All links stand still for a while.
             for (std::size_t each = 0; each < this->nodes.size(); ++each) {
-                this->link_stands_until[{each,
-                                         base::random_below(this->random, this->nodes.size())}] =
+                this->link_stalled_until[{each,
+                                          base::random_below(this->random, this->nodes.size())}] =
                     now + this->below(3000);
             }
             break;
@@ -270,8 +271,8 @@
                 for (std::size_t other = this->nodes.size() / 2; other < this->nodes.size();
                      ++other) {
                     const int until = now + 4000;
-                    this->link_stands_until[{each, other}] = until;
-                    this->link_stands_until[{other, each}] = until;
+                    this->link_stalled_until[{each, other}] = until;
+                    this->link_stalled_until[{other, each}] = until;
                 }
             }
             break;
@@ -291,7 +292,7 @@
         }
     }
 
-    void play(int from_ms, int to_ms) {
+    void simulate(int from_ms, int to_ms) {
         for (int now = from_ms; now < to_ms; now += step_ms) {
             for (auto& each : this->nodes) {
                 if (each.down_until != 0 && now >= each.down_until) {
@@ -301,19 +302,19 @@
             }
             this->deliver(now);
             for (auto& each : this->nodes) {
-                if (now % 100 == 0 && runs_at(each, now)) {
+                if (now % 100 == 0 && is_running(each, now)) {
                     this->list_entries(each, now);
                 }
             }
-            if (now % tell_period_ms == 0) {
+            if (now % report_period_ms == 0) {
                 for (std::size_t each = 0; each < this->nodes.size(); ++each) {
-                    if (runs_at(this->nodes[each], now)) {
-                        this->tell(each, now);
+                    if (is_running(this->nodes[each], now)) {
+                        this->send_reports(each, now);
                     }
                 }
             }
             if (this->faults && now % 700 == 0 && now > 5000) {
-                this->break_something(now);
+                this->inject_fault(now);
             }
             this->send_requests(now);
         }
@@ -349,15 +350,15 @@
                 ++first;
             }
             const double rate = this->binding_limit(team, each.at_ms);
-            const double most =
-                (rate * window_ms / 1000 + rate) * (1 + excess) + this->rules.allowed.slack;
+            const double most = (rate * window_ms / 1000 + rate) * (1 + excess) +
+                                this->rules.window_tolerance.slack;
             fullest = std::max(fullest, sum / most);
         }
         return fullest;
     }
 };
 
-std::uint64_t seeds_to_play(std::uint64_t usual) {
+std::uint64_t seed_count(std::uint64_t usual) {
     const char* wanted = std::getenv("CAMPHORRAIL_SCHEDULES");
     return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
 }
@@ -371,28 +372,28 @@
     const double slack = GENERATE(1.0, 0.1);
     CAPTURE(slack);
     double fullest = 0.0;
-    const auto play = [&](std::uint64_t seed) {
+    const auto simulate = [&](std::uint64_t seed) {
         CAPTURE(seed);
         base::random_source pick{seed};
         const std::size_t entries = 2 + base::random_below(pick, 12);
-        quota_fleet fleet(seed, entries, 60'000, slack);
-        fleet.play(0, 30'000);
+        quota_simulation simulation(seed, entries, 60'000, slack);
+        simulation.simulate(0, 30'000);
         for (const auto& team : {busy, calm}) {
             CAPTURE(team.value);
-            fullest = std::max(fullest, fleet.fullest_window(team));
-            CHECK(fleet.fullest_window(team) <= 1.0);
+            fullest = std::max(fullest, simulation.fullest_window(team));
+            CHECK(simulation.fullest_window(team) <= 1.0);
         }
     };
 
     SECTION("on many schedules") {
-        for (std::uint64_t seed = 1; seed <= seeds_to_play(60); ++seed) {
-            play(seed);
+        for (std::uint64_t seed = 1; seed <= seed_count(60); ++seed) {
+            simulate(seed);
         }
         UNSCOPED_INFO("fullest window " << fullest);
         CHECK(fullest > 0.5);
     }
     SECTION("on one where it did") {
-        play(314);
+        simulate(314);
     }
 }
 
@@ -400,17 +401,17 @@
 TEST_CASE("callers that are uneven over the entries are given the whole quota", "[quota]") {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        quota_fleet fleet(seed, 22, 200'000);
-        fleet.faults = false;
-        fleet.demand[busy] = 600'000;
-        for (std::size_t each = 0; each < fleet.nodes.size(); ++each) {
-            fleet.nodes[each].weight = each < 2 ? 10.0 : 0.1;
+        quota_simulation simulation(seed, 22, 200'000);
+        simulation.faults = false;
+        simulation.demand[busy] = 600'000;
+        for (std::size_t each = 0; each < simulation.nodes.size(); ++each) {
+            simulation.nodes[each].weight = each < 2 ? 10.0 : 0.1;
         }
-        fleet.play(0, 3000);
-        fleet.through = 0;
-        fleet.play(3000, 13'000);
-        CHECK(fleet.through >= 0.9 * 10 * 200'000);
-        CHECK(fleet.fullest_window(busy) <= 1.0);
+        simulation.simulate(0, 3000);
+        simulation.admitted = 0;
+        simulation.simulate(3000, 13'000);
+        CHECK(simulation.admitted >= 0.9 * 10 * 200'000);
+        CHECK(simulation.fullest_window(busy) <= 1.0);
     }
 }
 
@@ -419,10 +420,10 @@
           "[quota]") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
-        quota_fleet fleet(seed, 22, 60'000);
-        fleet.faults = false;
-        fleet.play(0, 20'000);
-        CHECK(fleet.asked_calm > 300);
-        CHECK(fleet.refused_calm <= fleet.asked_calm / 100);
+        quota_simulation simulation(seed, 22, 60'000);
+        simulation.faults = false;
+        simulation.simulate(0, 20'000);
+        CHECK(simulation.requested_calm > 300);
+        CHECK(simulation.refused_calm <= simulation.requested_calm / 100);
     }
 }
