--- a/src/replay/policy.cpp
+++ b/src/replay/policy.cpp
@@ -92,7 +92,7 @@
         auto& pool = entry.pools[news.pool];
         routing::note_served(pool, entry.affinity, id, *news.chain, news.basis, news.cached,
                              news.now, state->rules);
-        membership::note_success(routing::find(pool, id)->health);
+        membership::record_success(routing::find(pool, id)->health);
     };
     made.note_not_taken = [state](const question& asked, std::size_t engine) {
         auto& entry = state->entries[asked.entry];
@@ -101,7 +101,7 @@
     };
     made.note_failure = [state](const question& asked, std::size_t engine) {
         auto& pool = state->pool_of(asked.entry, asked.pool);
-        membership::note_failure(pool.upstreams[engine].health, asked.now, state->rules.health);
+        membership::record_failure(pool.upstreams[engine].health, asked.now, state->rules.health);
     };
     return made;
 }
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -33,7 +33,7 @@
 
 // An agent beside its engine.
 struct agent {
-    admission::order_queue queue;
+    admission::request_queue queue;
     routing::engine_view view;
     // Who holds the prefixes that this one is home of.
     routing::affinity_table notes;
@@ -228,7 +228,7 @@
         if (item->probe && this->pass_on(item, beside)) {
             return;
         }
-        admission::waiting_order order;
+        admission::queued_request order;
         order.attempt = {std::to_string(item->number)};
         order.team = asked.team;
         order.priority = asked.priority;
@@ -381,10 +381,10 @@
         for (const auto& [number, running] : beside.running) {
             cut.push_back(running);
         }
-        for (const auto& order : beside.queue.orders) {
+        for (const auto& order : beside.queue.requests) {
             cut.push_back(beside.waiting.at(order.attempt.value));
         }
-        beside.queue.orders.clear();
+        beside.queue.requests.clear();
         beside.waiting.clear();
         beside.running.clear();
         beside.prefilling.clear();
@@ -404,7 +404,7 @@
     base::micros true_wait(std::size_t pool, std::size_t index) const {
         const engine_model& engine = this->engines[pool][index];
         base::micros wait = std::max(base::micros(0), engine.prefill_free - this->now);
-        for (const auto& order : this->agents[pool][index].queue.orders) {
+        for (const auto& order : this->agents[pool][index].queue.requests) {
             const auto& item = this->agents[pool][index].waiting.at(order.attempt.value);
             const auto& chain = this->request_of(*item).chain;
             wait += prefill_time(engine, chain.back().length - cached_tokens(engine, chain));
--- a/src/routes/operators_config.cpp
+++ b/src/routes/operators_config.cpp
@@ -8,25 +8,26 @@
 namespace {
 
 // Host names are equal whatever their case, and a port does not count.
-std::string plain_host(std::string_view host) {
-    std::string plain(host.substr(0, host.find(':')));
-    std::transform(plain.begin(), plain.end(), plain.begin(),
+std::string normalize_host(std::string_view host) {
+    std::string normalized(host.substr(0, host.find(':')));
+    std::transform(normalized.begin(), normalized.end(), normalized.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
-    return plain;
+    return normalized;
 }
 
 } // namespace
 
-void index(operators_config& config) {
+void build_indexes(operators_config& config) {
     config.routes_by_host.clear();
     config.team_by_key.clear();
     for (std::size_t at = 0; at < config.routes.size(); ++at) {
-        config.routes_by_host[plain_host(config.routes[at].host)].push_back(at);
+        config.routes_by_host[normalize_host(config.routes[at].host)].push_back(at);
     }
-    for (auto& [host, indexes] : config.routes_by_host) {
-        std::stable_sort(indexes.begin(), indexes.end(), [&](std::size_t left, std::size_t right) {
-            return config.routes[left].prefix.size() > config.routes[right].prefix.size();
-        });
+    for (auto& [host, positions] : config.routes_by_host) {
+        std::stable_sort(
+            positions.begin(), positions.end(), [&](std::size_t left, std::size_t right) {
+                return config.routes[left].prefix.size() > config.routes[right].prefix.size();
+            });
     }
     for (std::size_t at = 0; at < config.teams.size(); ++at) {
         for (const auto& key : config.teams[at].keys) {
@@ -37,7 +38,7 @@
 
 const route* find_route(const operators_config& config, std::string_view host,
                         std::string_view target) {
-    const auto found = config.routes_by_host.find(plain_host(host));
+    const auto found = config.routes_by_host.find(normalize_host(host));
     if (found == config.routes_by_host.end()) {
         return nullptr;
     }
--- a/src/routes/operators_config.h
+++ b/src/routes/operators_config.h
@@ -45,9 +45,9 @@
     // Upstreams that may begin on one attempt of a caller.
     int attempts = 1;
     // Needs no key.
-    bool open_to_all = false;
+    bool is_public = false;
     // Its requests name the parts of their prompt.
-    bool shares_prompts = false;
+    bool prompt_affinity = false;
     bool resumable = false;
     std::vector<destination> destinations;
 };
@@ -57,9 +57,9 @@
 struct pool {
     base::pool_id id;
     // Tokens that an engine's memory holds, for running requests and cached prompts together.
-    std::int64_t engine_tokens = 0;
+    std::int64_t kv_capacity_tokens = 0;
     // Size of one token in an engine's memory, and what an engine's link carries.
-    double token_bytes = 0;
+    double kv_token_bytes = 0;
     double link_mbps = 0;
 };
 
@@ -73,10 +73,10 @@
 };
 
 // Bounds on what one caller may send.
-struct caller_limits {
-    std::int64_t head_bytes = 16 << 10;
+struct client_limits {
+    std::int64_t header_bytes = 16 << 10;
     std::int64_t body_bytes = 4 << 20;
-    base::milliseconds head_timeout{3000};
+    base::milliseconds header_timeout{3000};
     base::milliseconds idle_timeout{15000};
 };
 
@@ -89,7 +89,7 @@
     double rate_per_s = 0.0;
     double burst = 0.0;
     // Units of a request that does not say its tokens, where they are counted.
-    std::int64_t plain_tokens = 1;
+    std::int64_t default_tokens = 1;
 };
 
 inline bool is_limited(const team_quota& quota) {
@@ -114,7 +114,7 @@
     std::map<base::pool_id, pool> pools;
     // By address.
     std::vector<kv_store> kv_stores;
-    caller_limits limits;
+    client_limits limits;
     std::vector<team> teams;
     // Filled by `index`.
     std::unordered_map<std::string, std::vector<std::size_t>> routes_by_host;
@@ -122,7 +122,7 @@
 };
 
 // Builds the look-up tables; to be called once all else is filled.
-void index(operators_config& config);
+void build_indexes(operators_config& config);
 
 // The route of a request: among those of its host, the one with the longest prefix that begins the
 // path. Null where there is none.
--- a/src/routes/operators_config_tests.cpp
+++ b/src/routes/operators_config_tests.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-routes::operators_config sample() {
+routes::operators_config sample_config() {
     routes::operators_config config;
     config.routes = {{.name = "all", .host = "desk.example", .prefix = "/a/"},
                      {.name = "deep", .host = "desk.example", .prefix = "/a/b/"},
                      {.name = "other", .host = "line.example", .prefix = "/a/"}};
     config.teams = {{.id = {"north"}, .keys = {"k1", "k2"}}, {.id = {"south"}, .keys = {"k3"}}};
-    routes::index(config);
+    routes::build_indexes(config);
     return config;
 }
 
@@ -25,7 +25,7 @@
 } // namespace
 
 TEST_CASE("a request finds its route", "[routes]") {
-    const auto config = sample();
+    const auto config = sample_config();
     CHECK(route_of(config, "desk.example", "/a/x") == "all");
     CHECK(route_of(config, "desk.example", "/a/b/x") == "deep");
     CHECK(route_of(config, "Desk.Example:80", "/a/b/") == "deep");
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("a key stands for one team", "[routes]") {
-    const auto config = sample();
+    const auto config = sample_config();
     CHECK(routes::find_team(config, "k2")->id.value == "north");
     CHECK(routes::find_team(config, "k3")->id.value == "south");
     CHECK(routes::find_team(config, "") == nullptr);
@@ -49,6 +49,6 @@
         to_new += routes::choose_pool(split, number).value == "new" ? 1 : 0;
     }
     CHECK(to_new == 100);
-    const routes::route none_left{.destinations = {{{"old"}, 0}, {{"new"}, 0}}};
-    CHECK(routes::choose_pool(none_left, 7).value == "old");
+    const routes::route all_zero{.destinations = {{{"old"}, 0}, {{"new"}, 0}}};
+    CHECK(routes::choose_pool(all_zero, 7).value == "old");
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -135,7 +135,7 @@
     // The reported backlog is worked off while the report ages.
     const base::micros since = now - view.reported_at;
     base::micros wait = std::max(base::micros{0}, view.reported_wait + view.sent_since - since);
-    const double cold = 1.0 - membership::warmth(view.health, now, rules.health);
+    const double cold = 1.0 - membership::slow_start_factor(view.health, now, rules.health);
     wait += base::micros(
         static_cast<std::int64_t>(cold * static_cast<double>(rules.slow_start_wait.count())));
     return wait;
@@ -192,7 +192,7 @@
     const std::int64_t length = request.chain->empty() ? 0 : request.chain->back().length.value;
     for (const std::size_t index : candidates) {
         const upstream_view& view = pool.upstreams[index];
-        if (!membership::usable(view.health, now) || excluded(request, view)) {
+        if (!membership::is_usable(view.health, now) || excluded(request, view)) {
             continue;
         }
         const double cached = expected_cached(pool, table, *request.chain, home_of, index, now);
@@ -314,7 +314,7 @@
     if (view == nullptr) {
         return;
     }
-    membership::note_engine(view->health, engine_incarnation, now);
+    membership::record_incarnation(view->health, engine_incarnation, now);
     view->reported_wait = wait;
     view->reported_at = now;
     view->sent_since = base::micros{0};
--- a/src/routing/router_tests.cpp
+++ b/src/routing/router_tests.cpp
@@ -73,7 +73,7 @@
         routing::candidate_request request{&chain};
         for (auto& view : pool.upstreams) {
             if (&view != &pool.upstreams[3]) {
-                view.health.leaving = true;
+                view.health.draining = true;
             }
         }
         CHECK(pick(request, now)->index == 3);
--- a/tests/proxy_world.cpp
+++ b/tests/proxy_world.cpp
@@ -224,7 +224,7 @@
               },
               [] { return proxy::caller_bounds{}; }, this->context.now, [](int) {}}) {
     this->crashes.tell = [this](const peering::message& message) { this->told.push_back(message); };
-    this->crashes.held_back = [this](const quarantine::hold& held, bool) {
+    this->crashes.held_back = [this](const quarantine::quarantined_request& held, bool) {
         const auto under_way = this->flows;
         for (const auto& flow : under_way) {
             flow->call_off(held);
@@ -251,7 +251,7 @@
                            route("resume", request_kind::stream, 2, true)};
     this->config.teams = {{.id = {"north"}, .keys = {"k1"}}};
     this->config.pools[{"pool"}] = {.id = {"pool"}};
-    routes::index(this->config);
+    routes::build_indexes(this->config);
     this->prove_config();
     this->server.listen("127.0.0.1:0");
 }
