--- a/src/proxy/request_attempts.cpp
+++ b/src/proxy/request_attempts.cpp
@@ -168,7 +168,7 @@
         sent.id, sent.address, once ? base::micros(non_repeatable_max_idle) : max_idle_time);
     if (auto* member = this->current_member()) {
         this->current->last_resort = !fleet::is_available(*member);
-        fleet::begin_work(member->local_work, this->current_work());
+        fleet::add_request(member->local_work, this->current_work());
     }
     if (this->criteria.suspect) {
         this->current->trial = true;
@@ -290,7 +290,8 @@
     this->weights_timer.clear();
     auto* member = this->current_member();
     if (member != nullptr) {
-        fleet::end_work(member->local_work, this->current_work(), this->current->response_started);
+        fleet::remove_request(member->local_work, this->current_work(),
+                              this->current->response_started);
     }
     if (this->current->trial) {
         quarantine::end_trial(this->context.state.quarantine, this->identity().digest);
--- a/src/proxy/request_failures.cpp
+++ b/src/proxy/request_failures.cpp
@@ -108,7 +108,7 @@
     const auto& attempt = *this->current;
     quarantine::crash_victim victim{this->identity(), attempt.sent_at, {}};
     if (attempt.response_started) {
-        victim.begun_at = attempt.first_byte_at;
+        victim.response_started_at = attempt.first_byte_at;
     }
     this->context.record_broken_attempt(
         {instance_of(attempt.choice), attempt.choice.address, std::move(victim)});
@@ -125,8 +125,8 @@
 }
 
 bool request_flow::consume_retry() {
-    if (!admission::take_retry(this->context.state.retries[this->criteria.pool],
-                               this->context.now())) {
+    if (!admission::consume_retry(this->context.state.retries[this->criteria.pool],
+                                  this->context.now())) {
         this->context.metrics.count("camphorrail_retries_denied_total");
         return false;
     }
@@ -148,7 +148,7 @@
         if (this->was_trial) {
             // Whether the trial crashed its upstream is known only a moment later. Retrying before
             // then could crash one more upstream.
-            this->trial_timer.set(quarantine::quarantine_rules{}.same_moment);
+            this->trial_timer.set(quarantine::quarantine_rules{}.simultaneous_window);
         } else {
             this->send_attempt();
         }
--- a/src/proxy/request_flow.h
+++ b/src/proxy/request_flow.h
@@ -26,7 +26,7 @@
     void abort_for_shutdown();
     // Cancels this request if it is the one that has just been quarantined and its upstream has not
     // begun to respond: it may still be queued there.
-    void cancel_if_quarantined(const quarantine::hold& hold);
+    void cancel_if_quarantined(const quarantine::quarantined_request& hold);
     // Rearms the timer that cancels the current attempt if its upstream has not begun to respond
     // before its weights are outdated for too long. Call it whenever more is known about when
     // weights were named: a request may have been queued at its upstream since before newer weights
