--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -38,8 +38,8 @@
     base::instant last_pause{};
 };
 
-// Logs when accepting pauses, and when it has not paused for a while again: at most one pair of
-// lines in that time, however often it pauses.
+// Logs when accepting pauses, and when it has resumed and not paused again for a while: at most one
+// pair of lines in that time, however often it pauses.
 void log_accept_pauses(accept_log_state& log_state, const accept_status& status, base::instant now,
                        adapters::event_log& log);
 
--- a/src/proxy/descriptors_tests.cpp
+++ b/src/proxy/descriptors_tests.cpp
@@ -18,7 +18,7 @@
     return {{step::kind::send, tests::answer(got.field("Request-Id"), "done")}};
 }
 
-tests::engine_script keep_waiting(const tests::engine_request& /*got*/) {
+tests::engine_script never_respond(const tests::engine_request& /*got*/) {
     return {{step::kind::hang, {}}};
 }
 
@@ -27,16 +27,16 @@
 }
 
 // Moves the clock and keeps the configuration proved current.
-void let_time_pass(tests::proxy_world& world, base::micros span) {
+void advance_clock(tests::proxy_world& world, base::micros span) {
     world.move_clock(span);
     world.prove_config();
 }
 
 // Lowers the descriptor limit so that the process can open no more descriptors while the object
 // exists.
-class no_descriptors_left {
+class descriptor_exhaustion {
 public:
-    no_descriptors_left() {
+    descriptor_exhaustion() {
         getrlimit(RLIMIT_NOFILE, &this->before);
         const int lowest_free = dup(STDOUT_FILENO);
         close(lowest_free);
@@ -44,9 +44,9 @@
         lowered.rlim_cur = static_cast<rlim_t>(lowest_free);
         setrlimit(RLIMIT_NOFILE, &lowered);
     }
-    ~no_descriptors_left() { setrlimit(RLIMIT_NOFILE, &this->before); }
-    no_descriptors_left(const no_descriptors_left&) = delete;
-    no_descriptors_left& operator=(const no_descriptors_left&) = delete;
+    ~descriptor_exhaustion() { setrlimit(RLIMIT_NOFILE, &this->before); }
+    descriptor_exhaustion(const descriptor_exhaustion&) = delete;
+    descriptor_exhaustion& operator=(const descriptor_exhaustion&) = delete;
 
 private:
     rlimit before{};
@@ -70,23 +70,23 @@
 // Guards against idle client connections that keep out clients with requests.
 TEST_CASE("at the limit the clients that have been idle longest make room for others",
           "[proxy][descriptors]") {
-    constexpr std::size_t most = 8;
-    constexpr std::size_t came = 30;
+    constexpr std::size_t limit = 8;
+    constexpr std::size_t arrivals = 30;
     tests::proxy_world world;
     world.stop_clock();
     world.add_engine("i-1", echo);
-    world.callers_port().limit_connections(most);
-    for (std::size_t caller = 0; caller < came; ++caller) {
-        const auto seen = world.call(tests::request("once", id_of(caller)));
+    world.callers_port().limit_connections(limit);
+    for (std::size_t client = 0; client < arrivals; ++client) {
+        const auto seen = world.call(tests::request("once", id_of(client)));
         REQUIRE(seen.heads.size() == 1);
         CHECK(seen.heads[0].status == 200);
-        CHECK(world.callers_port().open_connections() <= most);
-        let_time_pass(world, base::seconds(1));
+        CHECK(world.callers_port().open_connections() <= limit);
+        advance_clock(world, base::seconds(1));
     }
     REQUIRE(world.run_until([&] { return world.seen_by(0).ended; }));
     CHECK_FALSE(world.seen_by(0).reset);
-    CHECK_FALSE(world.seen_by(came - 1).ended);
-    CHECK(world.callers_port().idle_closed() >= static_cast<std::int64_t>(came - most));
+    CHECK_FALSE(world.seen_by(arrivals - 1).ended);
+    CHECK(world.callers_port().idle_closed() >= static_cast<std::int64_t>(arrivals - limit));
 }
 
 // Guards against making room by disconnecting a client whose request is in flight, and against
@@ -94,33 +94,33 @@
 TEST_CASE(
     "if all clients at the limit have requests in flight, the next one waits until one has ended",
     "[proxy][descriptors]") {
-    constexpr std::size_t most = 6;
+    constexpr std::size_t limit = 6;
     tests::proxy_world world;
     world.stop_clock();
-    world.add_engine("i-1", keep_waiting);
-    world.add_engine("i-2", keep_waiting);
+    world.add_engine("i-1", never_respond);
+    world.add_engine("i-2", never_respond);
     auto& port = world.callers_port();
-    port.limit_connections(most);
-    for (std::size_t caller = 0; caller < most; ++caller) {
-        world.call_until(tests::request("safe", id_of(caller)),
-                         [&] { return world.open_requests() == caller + 1; });
-        let_time_pass(world, base::milliseconds(300));
+    port.limit_connections(limit);
+    for (std::size_t client = 0; client < limit; ++client) {
+        world.call_until(tests::request("safe", id_of(client)),
+                         [&] { return world.open_requests() == client + 1; });
+        advance_clock(world, base::milliseconds(300));
     }
     REQUIRE(world.run_until([&] { return port.paused(); }));
     CHECK(port.pauses() == 1);
 
     int turns = 0;
-    world.call_until(tests::request("safe", id_of(most)), [&turns] { return ++turns > 100; });
-    CHECK(port.open_connections() == most);
-    CHECK(world.open_requests() == most);
+    world.call_until(tests::request("safe", id_of(limit)), [&turns] { return ++turns > 100; });
+    CHECK(port.open_connections() == limit);
+    CHECK(world.open_requests() == limit);
     CHECK(port.pauses() == 1);
-    for (std::size_t caller = 0; caller < most; ++caller) {
-        CHECK_FALSE(world.seen_by(caller).ended);
+    for (std::size_t client = 0; client < limit; ++client) {
+        CHECK_FALSE(world.seen_by(client).ended);
     }
 
     world.leave(0);
-    REQUIRE(world.run_until([&] { return world.open_requests() == most && port.pauses() == 2; }));
-    CHECK(port.open_connections() == most);
+    REQUIRE(world.run_until([&] { return world.open_requests() == limit && port.pauses() == 2; }));
+    CHECK(port.open_connections() == limit);
 }
 
 // Guards against losing a request that has arrived but was not read yet when its connection is
@@ -130,10 +130,10 @@
     world.stop_clock();
     world.add_engine("i-1", echo);
     auto& port = world.callers_port();
-    for (std::size_t caller = 0; caller < 3; ++caller) {
-        world.call(tests::request("once", id_of(caller)));
+    for (std::size_t client = 0; client < 3; ++client) {
+        world.call(tests::request("once", id_of(client)));
     }
-    let_time_pass(world, base::seconds(1));
+    advance_clock(world, base::seconds(1));
     REQUIRE(port.idle_connections() == 3);
     world.send_at_once(0, tests::request("once", "r9"));
     port.limit_connections(1);
@@ -150,41 +150,41 @@
     tests::proxy_world world;
     world.add_engine("i-1", echo);
     auto& port = world.callers_port();
-    for (std::size_t caller = 0; caller < 4; ++caller) {
-        world.call(tests::request("once", id_of(caller)));
+    for (std::size_t client = 0; client < 4; ++client) {
+        world.call(tests::request("once", id_of(client)));
     }
     world.leave(0);
     REQUIRE(world.run_until([&] { return port.open_connections() == 3; }));
     {
-        auto short_of = std::optional<no_descriptors_left>();
+        auto exhausted = std::optional<descriptor_exhaustion>();
         // The client's end takes its descriptor first; the entry's end then finds none.
         world.call_until(tests::request("once", "r9"), [&] {
-            if (!short_of) {
-                short_of.emplace();
+            if (!exhausted) {
+                exhausted.emplace();
             }
             return port.pauses() > 0;
         });
     }
     CHECK(port.pauses() >= 1);
     CHECK(port.max_connections() < 4);
-    let_time_pass(world, base::seconds(1));
+    advance_clock(world, base::seconds(1));
     REQUIRE(world.run_until([&] { return world.last_seen().heads.size() == 1; }));
     CHECK(world.last_seen().heads[0].status == 200);
 }
 
 // Guards against unused upstream connections that take the descriptors the entry needs for its own.
 TEST_CASE("idle connections to upstreams are limited", "[proxy][descriptors]") {
-    constexpr std::size_t most = 2;
+    constexpr std::size_t limit = 2;
     tests::proxy_world world;
-    world.engine_connections().limit_idle(most);
+    world.engine_connections().limit_idle(limit);
     for (const char* id : {"i-1", "i-2", "i-3", "i-4"}) {
         auto& engine = world.add_engine(id, echo);
         world.call(tests::request("once", id));
         REQUIRE(engine.requests.size() == 1);
-        CHECK(world.engine_connections().idle_count() <= most);
+        CHECK(world.engine_connections().idle_count() <= limit);
         world.state.fleet.members.erase({id});
     }
-    CHECK(world.engine_connections().idle_count() == most);
+    CHECK(world.engine_connections().idle_count() == limit);
 }
 
 // Guards against filling the log when accepting pauses a thousand times a second.
--- a/src/proxy/frontend_server.cpp
+++ b/src/proxy/frontend_server.cpp
@@ -443,9 +443,9 @@
     if (errno == EMFILE) {
         // Other parts of the process use more descriptors than planned, or the system limit is
         // lower: lower the connection limit permanently.
-        constexpr std::size_t kept_of_four = 3;
+        constexpr std::size_t kept_quarters = 3;
         this->connection_limit =
-            std::max<std::size_t>(1, this->connections.size() * kept_of_four / 4);
+            std::max<std::size_t>(1, this->connections.size() * kept_quarters / 4);
     }
     this->close_idle_connections();
     this->pause_accepting();
@@ -465,14 +465,14 @@
     auto next = this->idle.begin();
     while (next != this->idle.end() &&
            this->connections.size() + spare > this->connection_limit + this->closing_count) {
-        client_connection* longest = next->second;
+        client_connection* oldest_idle = next->second;
         ++next;
-        if (now - longest->idle_since() < min_idle_time) {
+        if (now - oldest_idle->idle_since() < min_idle_time) {
             return;
         }
-        if (!longest->has_unread()) {
+        if (!oldest_idle->has_unread()) {
             ++this->idle_closed_count;
-            longest->close_gracefully();
+            oldest_idle->close_gracefully();
         }
     }
 }
--- a/src/proxy/request_attempts.cpp
+++ b/src/proxy/request_attempts.cpp
@@ -163,9 +163,10 @@
     this->current->sent_at = this->context.now();
     this->last_progress = this->current->sent_at;
     const auto& sent = this->current->choice;
-    const bool once = !may_repeat(*this->request.route);
+    const bool non_repeatable = !may_repeat(*this->request.route);
     this->current->connection = this->context.connections.acquire(
-        sent.id, sent.address, once ? base::micros(non_repeatable_max_idle) : max_idle_time);
+        sent.id, sent.address,
+        non_repeatable ? base::micros(non_repeatable_max_idle) : max_idle_time);
     if (auto* member = this->current_member()) {
         this->current->last_resort = !fleet::is_available(*member);
         fleet::add_request(member->local_work, this->current_work());
@@ -217,13 +218,13 @@
 void request_flow::call_upstream(std::string bytes) {
     const std::weak_ptr<request_flow> weak = this->weak_from_this();
     this->current->connection->call(std::move(bytes),
-                                    {[weak](const http::response_head& answer) {
+                                    {[weak](const http::response_head& head) {
                                          const auto self = weak.lock();
-                                         return self != nullptr && self->on_response_head(answer);
+                                         return self != nullptr && self->on_response_head(head);
                                      },
-                                     [weak](std::string piece) {
+                                     [weak](std::string body) {
                                          if (const auto self = weak.lock()) {
-                                             self->on_response_body(std::move(piece));
+                                             self->on_response_body(std::move(body));
                                          }
                                      },
                                      [weak] {
@@ -297,18 +298,18 @@
         quarantine::end_trial(this->context.state.quarantine, this->identity().digest);
     }
     this->was_trial = this->current->trial;
-    const auto left = std::move(*this->current);
+    const auto ended_attempt = std::move(*this->current);
     this->current.reset();
     const auto& upstreams = this->context.state.fleet.members;
-    const auto known = upstreams.find(left.choice.id);
-    const bool restarted =
-        known != upstreams.end() && known->second.listed.incarnation != left.choice.incarnation;
-    const auto idle = left.metadata.idle_timeout;
+    const auto found = upstreams.find(ended_attempt.choice.id);
+    const bool restarted = found != upstreams.end() &&
+                           found->second.listed.incarnation != ended_attempt.choice.incarnation;
+    const auto idle = ended_attempt.metadata.idle_timeout;
     // A connection to the previous incarnation is dead, and a request sent on it would be lost.
-    const base::micros keep = restarted ? base::micros(0)
-                              : idle    ? *idle * 3 / 4
-                                        : default_keep_time;
-    this->context.connections.release(left.choice.id, left.connection, keep);
+    const base::micros keep_time = restarted ? base::micros(0)
+                                   : idle    ? *idle * 3 / 4
+                                             : default_keep_time;
+    this->context.connections.release(ended_attempt.choice.id, ended_attempt.connection, keep_time);
 }
 
 void request_flow::cancel_attempt() {
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -87,19 +87,19 @@
 TEST_CASE("a request that an upstream states it did not execute goes to another upstream",
           "[proxy][flow]") {
     tests::proxy_world world;
-    int asked = 0;
-    const auto once_refused = [&asked](const engine_request& got) {
-        return ++asked == 1 ? refuse(got) : echo(got);
+    int attempts = 0;
+    const auto once_refused = [&attempts](const engine_request& got) {
+        return ++attempts == 1 ? refuse(got) : echo(got);
     };
     world.add_engine("i-1", once_refused);
     world.add_engine("i-2", once_refused);
     const auto seen = world.call(tests::request("once", "r1"));
     REQUIRE(seen.heads.size() == 1);
     CHECK(seen.heads[0].status == 200);
-    CHECK(asked == 2);
+    CHECK(attempts == 2);
 
     SECTION("and if all refuse, the client is told that it was not executed and when to retry") {
-        asked = -100;
+        attempts = -100;
         tests::proxy_world full;
         full.add_engine("i-1", refuse);
         const auto refused = full.call(tests::request("once", "r2"));
@@ -111,16 +111,16 @@
 
 TEST_CASE("a request that may be executed twice is retried at another upstream", "[proxy][flow]") {
     tests::proxy_world world;
-    int asked = 0;
-    const auto breaks_first = [&asked](const engine_request& got) {
-        return ++asked == 1 ? engine_script{reset_it} : echo(got);
+    int attempts = 0;
+    const auto breaks_first = [&attempts](const engine_request& got) {
+        return ++attempts == 1 ? engine_script{reset_it} : echo(got);
     };
     world.add_engine("i-1", breaks_first);
     world.add_engine("i-2", breaks_first);
     const auto seen = world.call(tests::request("safe", "r1"));
     REQUIRE(seen.heads.size() == 1);
     CHECK(seen.heads[0].status == 200);
-    CHECK(asked == 2);
+    CHECK(attempts == 2);
 
     SECTION("but at no more upstreams than its route allows") {
         tests::proxy_world broken;
@@ -148,10 +148,10 @@
 TEST_CASE("a late response to an earlier request is dropped and the right one awaited",
           "[proxy][flow]") {
     tests::proxy_world world;
-    int asked = 0;
-    world.add_engine("i-1", [&asked](const engine_request& got) {
-        ++asked;
-        if (asked == 1) {
+    int attempts = 0;
+    world.add_engine("i-1", [&attempts](const engine_request& got) {
+        ++attempts;
+        if (attempts == 1) {
             return echo(got);
         }
         return engine_script{
@@ -164,7 +164,7 @@
     CHECK(http::value_of(seen.heads[0].all, "Response-Stamp") == "s-r2");
 }
 
-// An engine sends extra bytes after a complete response. The connection must not be used for the
+// An engine sends a second response after a complete one. The connection must not be used for the
 // next request.
 TEST_CASE("a connection with bytes after its response is not reused", "[proxy][flow]") {
     tests::proxy_world world;
@@ -185,9 +185,9 @@
                                   "\r\nResponse-Stamp: s\r\n\r\nwhole"),
                              end};
     });
-    const auto fine = world.call(tests::request("once", "r1"));
-    CHECK(fine.heads.at(0).status == 200);
-    CHECK(fine.bodies.at(0) == "whole");
+    const auto orderly = world.call(tests::request("once", "r1"));
+    CHECK(orderly.heads.at(0).status == 200);
+    CHECK(orderly.bodies.at(0) == "whole");
     end = reset_it;
     CHECK(world.call(tests::request("once", "r2")).heads.at(0).status == 502);
 }
@@ -197,11 +197,11 @@
 // head.
 TEST_CASE("a resumable stream resumes at another upstream", "[proxy][flow]") {
     tests::proxy_world world;
-    int asked = 0;
+    int attempts = 0;
     std::string resumed_after;
     const auto script = [&](const engine_request& got) {
         const std::string id = got.field("Request-Id");
-        if (++asked == 1) {
+        if (++attempts == 1) {
             return engine_script{send(tests::stream_head(id)), send(tests::chunk(events(1, 3))),
                                  send(tests::chunk("id: 4\nda")), close_it};
         }
@@ -222,10 +222,10 @@
 TEST_CASE("a stream that the next upstream fails to resume is aborted, not completed",
           "[proxy][flow]") {
     tests::proxy_world world;
-    int asked = 0;
+    int attempts = 0;
     const auto script = [&](const engine_request& got) {
         const std::string id = got.field("Request-Id");
-        if (++asked == 1) {
+        if (++attempts == 1) {
             return engine_script{send(tests::stream_head(id)), send(tests::chunk(events(1, 3))),
                                  close_it};
         }
@@ -234,7 +234,7 @@
     world.add_engine("i-1", script);
     world.add_engine("i-2", script);
     const auto seen = world.call(tests::request("resume", "r1"));
-    CHECK(asked == 2);
+    CHECK(attempts == 2);
     CHECK(seen.bodies.at(0) == events(1, 3));
     CHECK_FALSE(seen.whole);
 }
@@ -509,11 +509,11 @@
 // The first engine of a stream broke off after some events. Refusing the rest for overload would
 // lose what the client has already received.
 TEST_CASE("a stream that has begun resumes even in overload", "[proxy][flow]") {
-    int asked = 0;
+    int attempts = 0;
     prompt_world* entry = nullptr;
     prompt_world world([&](const engine_request& got) {
         const std::string id = got.field("Request-Id");
-        if (++asked == 1) {
+        if (++attempts == 1) {
             entry->upstream().local_work.pending_prefill_tokens += 60000;
             return engine_script{send(tests::stream_head(id)), send(tests::chunk(events(1, 3))),
                                  close_it};
@@ -527,7 +527,7 @@
     second.listed.id = {"i-2"};
     second.local_work.pending_prefill_tokens = 30000;
     const auto seen = world.call(prompt("resume", "r1"));
-    CHECK(asked == 2);
+    CHECK(attempts == 2);
     CHECK(seen.bodies.at(0) == events(1, 5));
     CHECK(seen.whole);
 }
--- a/src/proxy/request_quarantine.cpp
+++ b/src/proxy/request_quarantine.cpp
@@ -16,11 +16,11 @@
 
 const quarantine::request_identity& request_flow::identity() {
     if (!this->cached_identity) {
-        const std::string_view caller = this->request.team == nullptr
-                                            ? this->metadata.bearer_key
-                                            : this->request.team->id.value;
+        const std::string_view client_id = this->request.team == nullptr
+                                               ? this->metadata.bearer_key
+                                               : this->request.team->id.value;
         this->cached_identity =
-            quarantine::identify({this->exchange->head.target, caller, this->exchange->body});
+            quarantine::identify({this->exchange->head.target, client_id, this->exchange->body});
     }
     return *this->cached_identity;
 }
@@ -28,33 +28,34 @@
 // Ends the request if quarantine does not allow it to be sent now; returns true if so.
 bool request_flow::refuse_if_quarantined() {
     this->criteria.suspect = false;
-    const auto& known = this->context.state.quarantine;
-    if (!quarantine::may_be_suspect(known, this->exchange->body.size())) {
+    const auto& state = this->context.state.quarantine;
+    if (!quarantine::may_be_suspect(state, this->exchange->body.size())) {
         return false;
     }
-    const auto judged =
-        quarantine::evaluate(known, this->identity().digest, this->context.now(), {});
-    this->criteria.suspect = judged.what == quarantine::verdict::trial;
-    if (judged.what == quarantine::verdict::allowed || this->criteria.suspect) {
+    const auto evaluation =
+        quarantine::evaluate(state, this->identity().digest, this->context.now(), {});
+    this->criteria.suspect = evaluation.what == quarantine::verdict::trial;
+    if (evaluation.what == quarantine::verdict::allowed || this->criteria.suspect) {
         return false;
     }
-    const bool held = judged.what == quarantine::verdict::quarantined;
-    const auto number = held ? base::code::quarantined : base::code::suspect_tried;
-    const char* reason = held ? "quarantined" : "suspect_tried";
+    const bool is_quarantined = evaluation.what == quarantine::verdict::quarantined;
+    const auto refusal_code = is_quarantined ? base::code::quarantined : base::code::suspect_tried;
+    const char* reason = is_quarantined ? "quarantined" : "suspect_tried";
     this->context.log.line(importance::keep, "kept_from_upstreams")
         .text("request", this->metadata.request_id)
         .text("digest", this->identity().digest.value)
         .text("why", reason)
-        .span("left_ms", judged.retry_after);
-    this->fail_request(reason, number, base::code::upstream_failed,
-                       held ? std::chrono::ceil<milliseconds>(judged.retry_after) : trial_delay);
+        .span("left_ms", evaluation.retry_after);
+    this->fail_request(reason, refusal_code, base::code::upstream_failed,
+                       is_quarantined ? std::chrono::ceil<milliseconds>(evaluation.retry_after)
+                                      : trial_delay);
     return true;
 }
 
 void request_flow::clear_suspicion() {
-    auto& known = this->context.state.quarantine;
-    if (quarantine::may_be_suspect(known, this->exchange->body.size())) {
-        quarantine::clear_suspicion(known, this->identity().digest, this->context.now());
+    auto& state = this->context.state.quarantine;
+    if (quarantine::may_be_suspect(state, this->exchange->body.size())) {
+        quarantine::clear_suspicion(state, this->identity().digest, this->context.now());
     }
 }
 
--- a/src/proxy/request_quota.cpp
+++ b/src/proxy/request_quota.cpp
@@ -25,10 +25,10 @@
         return false;
     }
     const auto cost = quota_cost(team->quota, this->metadata);
-    const auto taken = quota::admit(this->context.state.quotas, team->id, cost,
-                                    base::stable_hash(this->metadata.request_id),
-                                    this->context.now(), quota_rules_of(this->context.settings));
-    if (taken.admitted) {
+    const auto decision = quota::admit(this->context.state.quotas, team->id, cost,
+                                       base::stable_hash(this->metadata.request_id),
+                                       this->context.now(), quota_rules_of(this->context.settings));
+    if (decision.admitted) {
         this->charged_quota = cost;
         return false;
     }
@@ -36,14 +36,14 @@
         .text("request", this->metadata.request_id)
         .text("team", team->id.value)
         .number("cost", cost.value)
-        .number("left", static_cast<std::int64_t>(taken.balance))
-        .number("asked_per_s", static_cast<std::int64_t>(taken.demand))
-        .number("given_per_s", static_cast<std::int64_t>(taken.rate))
-        .number("share_in_1000", static_cast<std::int64_t>(1000.0 * taken.share))
+        .number("left", static_cast<std::int64_t>(decision.balance))
+        .number("asked_per_s", static_cast<std::int64_t>(decision.demand))
+        .number("given_per_s", static_cast<std::int64_t>(decision.rate))
+        .number("share_in_1000", static_cast<std::int64_t>(1000.0 * decision.share))
         .number("config_version", this->request.config->version);
     this->context.metrics.count("camphorrail_quota_refusals_total", {{"team", team->id.value}});
     this->refuse(base::code::quota_spent, base::execution_state::not_run,
-                 std::chrono::ceil<milliseconds>(taken.retry_after));
+                 std::chrono::ceil<milliseconds>(decision.retry_after));
     return true;
 }
 
@@ -53,9 +53,9 @@
     if (!this->charged_quota) {
         return;
     }
-    const quota::units ran{this->charged_quota->value * this->possible_executions};
+    const quota::units executed{this->charged_quota->value * this->possible_executions};
     quota::adjust_charge(this->context.state.quotas, this->request.team->id, *this->charged_quota,
-                         ran, this->context.now());
+                         executed, this->context.now());
     this->charged_quota.reset();
 }
 
--- a/src/proxy/request_quota_tests.cpp
+++ b/src/proxy/request_quota_tests.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-engine_script answer_at_once(const engine_request& got) {
+engine_script respond_immediately(const engine_request& got) {
     return {{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
 }
 
@@ -23,14 +23,14 @@
         this->config.teams = {{.id = {"north"}, .keys = {"k1"}, .quota = quota},
                               {.id = {"south"}, .keys = {"k2"}}};
         routes::build_indexes(this->config);
-        this->take_limits();
+        this->apply_limits();
         this->move_clock(base::seconds(60));
-        this->take_limits();
+        this->apply_limits();
         this->move_clock(base::seconds(60));
         this->prove_config();
     }
 
-    void take_limits() {
+    void apply_limits() {
         quota::set_limits(this->state.quotas, this->config.teams, this->entry().now(),
                           proxy::quota_rules_of({}));
     }
@@ -55,7 +55,7 @@
 
 TEST_CASE("requests beyond a team's quota are refused at once and not executed", "[proxy][quota]") {
     quota_world world({routes::quota_unit::requests, 0.5, 3, 1});
-    auto& engine = world.add_engine("i-1", answer_at_once);
+    auto& engine = world.add_engine("i-1", respond_immediately);
     int served = 0;
     for (int each = 0; each < 20; ++each) {
         const auto seen = world.call(tests::request("safe", "r" + std::to_string(each)));
@@ -86,7 +86,7 @@
 
 TEST_CASE("a token quota counts both token numbers of a request", "[proxy][quota]") {
     quota_world world({routes::quota_unit::tokens, 10'000, 10'000, 200});
-    world.add_engine("i-1", answer_at_once);
+    world.add_engine("i-1", respond_immediately);
     CHECK(world.status_of(with_tokens(tests::request("safe", "r1"), "900,60")) == 200);
     CHECK(world.used() == 960);
     CHECK(world.status_of(tests::request("safe", "plain")) == 200);
@@ -147,32 +147,32 @@
 }
 
 TEST_CASE("entries report to each other how much of a quota they have admitted", "[proxy][quota]") {
-    quota_world teller({routes::quota_unit::tokens, 10'000, 10'000, 200});
-    quota_world listener({routes::quota_unit::tokens, 10'000, 10'000, 200});
-    teller.add_engine("i-1", answer_at_once);
-    listener.add_engine("i-1", answer_at_once);
-    proxy::load_exchange telling{teller.entry()};
-    proxy::load_exchange listening{listener.entry()};
-    const auto tell = [&] {
-        const auto news = telling.collect(1);
-        REQUIRE(news.near.has_value());
-        const auto heard = peering::decode(peering::encode({*news.near}));
-        listening.take(std::get<peering::load_report>(heard.value().payload), false);
+    quota_world sender({routes::quota_unit::tokens, 10'000, 10'000, 200});
+    quota_world receiver({routes::quota_unit::tokens, 10'000, 10'000, 200});
+    sender.add_engine("i-1", respond_immediately);
+    receiver.add_engine("i-1", respond_immediately);
+    proxy::load_exchange sender_exchange{sender.entry()};
+    proxy::load_exchange receiver_exchange{receiver.entry()};
+    const auto exchange_report = [&] {
+        const auto report = sender_exchange.collect(1);
+        REQUIRE(report.near.has_value());
+        const auto received = peering::decode(peering::encode({*report.near}));
+        receiver_exchange.take(std::get<peering::load_report>(received.value().payload), false);
     };
-    tell();
+    exchange_report();
     for (int each = 0; each < 9; ++each) {
-        teller.status_of(with_tokens(tests::request("safe", std::to_string(each)), "1000,0"));
+        sender.status_of(with_tokens(tests::request("safe", std::to_string(each)), "1000,0"));
     }
-    tell();
-    const auto& account = listener.state.quotas.teams.at({"north"});
+    exchange_report();
+    const auto& account = receiver.state.quotas.teams.at({"north"});
     REQUIRE(account.remote_counts.size() == 1);
-    CHECK(account.remote_counts.at(0).used == teller.used());
+    CHECK(account.remote_counts.at(0).used == sender.used());
     CHECK(account.balance < 10'000 - 8000);
 
     SECTION("and report that they are alive when there is nothing else to report") {
-        teller.move_clock(base::milliseconds(400));
-        CHECK(telling.collect(1).near.has_value());
-        teller.move_clock(base::milliseconds(400));
-        CHECK(telling.collect(1).near.has_value());
+        sender.move_clock(base::milliseconds(400));
+        CHECK(sender_exchange.collect(1).near.has_value());
+        sender.move_clock(base::milliseconds(400));
+        CHECK(sender_exchange.collect(1).near.has_value());
     }
 }
--- a/src/proxy/request_responses.cpp
+++ b/src/proxy/request_responses.cpp
@@ -25,23 +25,23 @@
 } // namespace
 
 bool request_flow::on_response_head(const http::response_head& head) {
-    const auto answer = this->context.codec.parse_response(head);
-    if (answer.request_id != this->metadata.request_id) {
+    const auto response = this->context.codec.parse_response(head);
+    if (response.request_id != this->metadata.request_id) {
         // An upstream may send a second response to an earlier request; the response to this one is
         // still to come.
         this->context.log.line(importance::keep, "foreign_answer_dropped")
             .text("request", this->metadata.request_id)
             .text("upstream", this->current->choice.id.value)
-            .text("answers", answer.request_id)
+            .text("answers", response.request_id)
             .number("status", head.status);
         return false;
     }
     this->record_progress();
     this->current->head_received = true;
     this->current->head = head;
-    this->current->metadata = answer;
-    if (auto* member = this->current_member(); member != nullptr && answer.load) {
-        member->load = answer.load;
+    this->current->metadata = response;
+    if (auto* member = this->current_member(); member != nullptr && response.load) {
+        member->load = response.load;
         member->load_at = this->context.now();
     }
     this->handle_upstream_signals();
@@ -51,18 +51,19 @@
 // Applies the drain and pause signals in the response head at once: the end of the response may be
 // far off.
 void request_flow::handle_upstream_signals() {
-    const auto& answer = this->current->metadata;
+    const auto& response = this->current->metadata;
     const auto upstream = instance_of(this->current->choice);
-    if (answer.draining && record_drain_report(this->context, upstream, "", this->context.now())) {
+    if (response.draining &&
+        record_drain_report(this->context, upstream, "", this->context.now())) {
         this->context.broadcast_drain(upstream);
     }
-    if (answer.pause) {
+    if (response.pause) {
         this->context.log.line(importance::keep, "upstream_wants_pause")
             .text("request", this->metadata.request_id)
             .text("upstream", upstream.id.value)
-            .span("pause_ms", *answer.pause);
+            .span("pause_ms", *response.pause);
         if (auto* member = this->current_member()) {
-            fleet::record_pause(*member, *answer.pause, this->context.now());
+            fleet::record_pause(*member, *response.pause, this->context.now());
         }
     }
 }
@@ -145,21 +146,21 @@
     if (member == nullptr || member->weights_change_until > this->current->sent_at) {
         return {};
     }
-    const std::chrono::duration<double, std::milli> taken =
+    const std::chrono::duration<double, std::milli> elapsed =
         this->context.now() - this->current->sent_at;
-    const auto to_read = static_cast<double>(choice.prefill_tokens);
-    const auto all = static_cast<double>(choice.chain.all_tokens());
-    return {{to_read, static_cast<double>(choice.queued_tokens),
-             latency::attention_pairs(to_read, all)},
-            std::max(0.0, taken.count() - choice.fetch_ms)};
+    const auto prefill_tokens = static_cast<double>(choice.prefill_tokens);
+    const auto all_tokens = static_cast<double>(choice.chain.all_tokens());
+    return {{prefill_tokens, static_cast<double>(choice.queued_tokens),
+             latency::attention_pairs(prefill_tokens, all_tokens)},
+            std::max(0.0, elapsed.count() - choice.fetch_ms)};
 }
 
 // Records that the upstream holds the prompt, here and for the report to the other entries.
 void request_flow::report_prompt_read() {
     const auto& choice = this->current->choice;
     const auto& chain = choice.chain;
-    const bool holds = this->current_member() != nullptr;
-    if (!holds || chain.shared_tokens() < kvcache::least_tracked_tokens) {
+    const bool is_same_instance = this->current_member() != nullptr;
+    if (!is_same_instance || chain.shared_tokens() < kvcache::least_tracked_tokens) {
         return;
     }
     kvcache::prompt_read read;
@@ -252,9 +253,10 @@
         this->criteria.prompt != nullptr &&
         choice.weights < newest(history_of(this->context.state, this->metadata.model));
     if (member != nullptr) {
-        const bool changing = outdated || this->current->metadata.wrong_instance;
-        member->busy_until = std::max(
-            member->busy_until, this->context.now() + (changing ? loading_pause : overload_pause));
+        const bool is_changing_weights = outdated || this->current->metadata.wrong_instance;
+        member->busy_until =
+            std::max(member->busy_until,
+                     this->context.now() + (is_changing_weights ? loading_pause : overload_pause));
     }
     if (has_room && !outdated && !this->current->metadata.pause) {
         record_upstream_failure(this->context, instance_of(choice), "refuses_with_room");
--- a/src/proxy/stall_detection.cpp
+++ b/src/proxy/stall_detection.cpp
@@ -9,8 +9,8 @@
 using base::milliseconds;
 
 // A request that has had no response for this many target latencies is moved to another upstream if
-// it may be. By then it is late, and work that has already waited this long may be worth waiting
-// for, so the limit is not lower.
+// it may be. By then it is late in any case, and one that has waited for that long may as well wait
+// on, so a move earlier would gain little.
 constexpr int request_stall_targets = 6;
 constexpr milliseconds min_request_stall{200};
 // The shortest time after which an upstream that has sent nothing on any request, while one waits,
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -65,9 +65,9 @@
 bool may_wait_long(const entry_context& context, const fleet::member& member) {
     const auto& pools = context.state.config->pools;
     const auto pool = pools.find(member.listed.pool);
-    const std::int64_t room = pool == pools.end() ? 0 : pool->second.kv_capacity_tokens;
+    const std::int64_t capacity = pool == pools.end() ? 0 : pool->second.kv_capacity_tokens;
     const auto work = fleet::total_work(member, context.now());
-    return static_cast<double>(work.kv_tokens) > high_load_share * static_cast<double>(room);
+    return static_cast<double>(work.kv_tokens) > high_load_share * static_cast<double>(capacity);
 }
 
 // The time since which weights may have been outdated: when newer ones were named, or else when it
@@ -133,21 +133,21 @@
 // Keeps the third of the candidates at which a crash would cost the least. Keeping only the best
 // would make all entries send all suspects to the same upstream.
 template <class Candidate>
-void keep_safest(const entry_context& context, std::vector<Candidate>& among) {
+void keep_safest(const entry_context& context, std::vector<Candidate>& candidates) {
     const base::instant now = context.now();
     const auto trials = quarantine::upstreams_with_trials(context.state.quarantine, now);
     std::vector<std::pair<crash_cost, Candidate>> ranked;
-    ranked.reserve(among.size());
-    for (const auto& candidate : among) {
+    ranked.reserve(candidates.size());
+    for (const auto& candidate : candidates) {
         ranked.emplace_back(cost_of_crash(engine_of(candidate), trials, now), candidate);
     }
     std::stable_sort(ranked.begin(), ranked.end(),
                      [](const auto& left, const auto& right) { return left.first < right.first; });
     ranked.erase(ranked.begin() + static_cast<std::ptrdiff_t>((ranked.size() + 2) / 3),
                  ranked.end());
-    among.clear();
+    candidates.clear();
     for (const auto& [cost, candidate] : ranked) {
-        among.push_back(candidate);
+        candidates.push_back(candidate);
     }
 }
 
--- a/src/proxy/upstream_signals_tests.cpp
+++ b/src/proxy/upstream_signals_tests.cpp
@@ -45,7 +45,8 @@
     return statuses;
 }
 
-std::vector<int> call_for(tests::proxy_world& world, milliseconds span, const std::string& name) {
+std::vector<int> call_during(tests::proxy_world& world, milliseconds span,
+                             const std::string& name) {
     return call_until(world, world.entry().now() + span, name);
 }
 
@@ -98,9 +99,9 @@
         });
     }
     REQUIRE(leaving.requests.size() == 1);
-    call_for(world, drain, "meanwhile");
+    call_during(world, drain, "meanwhile");
     const auto before = leaving.requests.size();
-    const auto statuses = call_for(world, milliseconds(3000), "late");
+    const auto statuses = call_during(world, milliseconds(3000), "late");
     CHECK(leaving.requests.size() == before);
     CHECK(all_are(statuses, 200));
     CHECK_FALSE(staying.requests.empty());
@@ -116,14 +117,14 @@
         fleet::prune_unlisted(world.state.fleet, world.entry().now(), {});
         REQUIRE(world.state.fleet.members.count({"i-1"}) == 0);
         fleet::apply_list(world.state.fleet, {listed, other}, world.entry().now());
-        call_for(world, milliseconds(500), "listed");
+        call_during(world, milliseconds(500), "listed");
         CHECK(leaving.requests.size() == before);
     }
     SECTION("and other entries are notified once") {
         REQUIRE(world.told.size() == 1);
-        const auto heard = peering::decode(peering::encode({world.told.at(0)}));
-        REQUIRE(heard.has_value());
-        CHECK(std::get<peering::upstream_draining>(heard.value().payload).upstream.id.value ==
+        const auto received = peering::decode(peering::encode({world.told.at(0)}));
+        REQUIRE(received.has_value());
+        CHECK(std::get<peering::upstream_draining>(received.value().payload).upstream.id.value ==
               "i-1");
     }
     SECTION("until it restarts") {
@@ -131,7 +132,7 @@
         one.listed.incarnation = {5};
         fleet::start_incarnation(one, {6});
         leaving.set_answer(echo);
-        call_for(world, milliseconds(500), "again");
+        call_during(world, milliseconds(500), "again");
         CHECK(leaving.requests.size() > before);
     }
 }
@@ -155,9 +156,9 @@
     tests::proxy_world world;
     auto& first = world.add_engine("i-1", reply_leaving);
     auto& second = world.add_engine("i-2", reply_leaving);
-    call_for(world, drain + milliseconds(200), "meanwhile");
+    call_during(world, drain + milliseconds(200), "meanwhile");
     const auto before = first.requests.size() + second.requests.size();
-    const auto statuses = call_for(world, milliseconds(2000), "late");
+    const auto statuses = call_during(world, milliseconds(2000), "late");
     CHECK(first.requests.size() + second.requests.size() == before);
     CHECK(all_are(statuses, 503));
 }
@@ -166,28 +167,28 @@
 // has asked for a pause.
 TEST_CASE("an upstream that asks for a pause gets no requests during it", "[proxy][words]") {
     tests::proxy_world world;
-    auto& asking = world.add_engine("i-1", reply_with_pause);
+    auto& paused = world.add_engine("i-1", reply_with_pause);
 
     SECTION("while others serve") {
         world.add_engine("i-2", echo);
-        const base::instant asked = world.entry().now();
+        const base::instant requested_at = world.entry().now();
         CHECK(world.call(tests::request("safe", "first", "body")).heads.at(0).status == 200);
-        REQUIRE(asking.requests.size() == 1);
-        asking.set_answer(echo);
-        CHECK(all_are(call_until(world, asked + milliseconds(3800), "pause"), 200));
-        CHECK(asking.requests.size() <= 3);
-        call_until(world, asked + milliseconds(8000), "after");
-        CHECK(asking.requests.size() > 3);
+        REQUIRE(paused.requests.size() == 1);
+        paused.set_answer(echo);
+        CHECK(all_are(call_until(world, requested_at + milliseconds(3800), "pause"), 200));
+        CHECK(paused.requests.size() <= 3);
+        call_until(world, requested_at + milliseconds(8000), "after");
+        CHECK(paused.requests.size() > 3);
     }
     SECTION("also if there is no other, and clients are told when it ends") {
-        const base::instant asked = world.entry().now();
+        const base::instant requested_at = world.entry().now();
         const auto seen = world.call(tests::request("safe", "first", "body"));
         CHECK(seen.heads.at(0).status == 503);
         const auto hint = std::string(http::value_of(seen.heads[0].all, "Retry-After"));
         CHECK(std::stod(hint) == Approx(4.0).margin(0.5));
-        asking.set_answer(echo);
-        CHECK(all_are(call_until(world, asked + milliseconds(3800), "pause"), 503));
-        CHECK(asking.requests.size() <= 3);
-        CHECK(call_until(world, asked + milliseconds(8000), "after").back() == 200);
+        paused.set_answer(echo);
+        CHECK(all_are(call_until(world, requested_at + milliseconds(3800), "pause"), 503));
+        CHECK(paused.requests.size() <= 3);
+        CHECK(call_until(world, requested_at + milliseconds(8000), "after").back() == 200);
     }
 }
