--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -64,28 +64,28 @@
 }
 
 void record_prompt_read(entry_context& context, const kvcache::prompt_read& read) {
-    const auto* one = fleet::find_instance(context.state.fleet, read.by);
-    if (one == nullptr) {
+    const auto* member = fleet::find_instance(context.state.fleet, read.by);
+    if (member == nullptr) {
         return;
     }
     const base::instant now = context.now();
     kvcache::note_read(context.state.cache, read, engine_capacity_tokens(context.state, read.by),
                        now);
     if (read.shown.ms > 0.0) {
-        latency::note_first_byte(context.state.latency[one->listed.pool], read.shown, now);
+        latency::note_first_byte(context.state.latency[member->listed.pool], read.shown, now);
     }
 }
 
 void record_weights(entry_context& context, const base::upstream_instance& upstream,
                     const base::model_id& model, std::int64_t version) {
-    auto* one = fleet::find_instance(context.state.fleet, upstream);
-    if (one == nullptr) {
+    auto* member = fleet::find_instance(context.state.fleet, upstream);
+    if (member == nullptr) {
         return;
     }
-    for (auto& [name, held] : one->listed.models) {
+    for (auto& [name, held] : member->listed.models) {
         if (name == model && held < version) {
             held = version;
-            one->busy_until = context.now();
+            member->busy_until = context.now();
             kvcache::forget_reader(context.state.cache, upstream.id);
             context.log.line(adapters::importance::keep, "upstream_weights")
                 .text("upstream", upstream.id.value)
@@ -122,22 +122,23 @@
 namespace {
 
 // Gives how long the upstream is ejected for, if this ejected it.
-template <class Note>
-std::optional<base::micros> note(entry_context& context, const base::upstream_instance& upstream,
-                                 const char* why, Note note_it) {
-    auto* one = fleet::find_instance(context.state.fleet, upstream);
-    if (one == nullptr) {
+template <class Update>
+std::optional<base::micros> update_health(entry_context& context,
+                                          const base::upstream_instance& upstream, const char* why,
+                                          Update apply) {
+    auto* member = fleet::find_instance(context.state.fleet, upstream);
+    if (member == nullptr) {
         return std::nullopt;
     }
     const base::instant now = context.now();
-    const bool was_usable = membership::usable(one->health, now);
-    note_it(one->health, now, fleet_rules_of(context.settings).health);
-    const bool ejected = was_usable && !membership::usable(one->health, now);
+    const bool was_usable = membership::usable(member->health, now);
+    apply(member->health, now, fleet_rules_of(context.settings).health);
+    const bool ejected = was_usable && !membership::usable(member->health, now);
     if (!ejected) {
         return std::nullopt;
     }
     context.connections.forget(upstream.id);
-    const base::micros span = one->health.ejected_until - now;
+    const base::micros span = member->health.ejected_until - now;
     context.log.line(adapters::importance::keep, "upstream_ejected")
         .text("upstream", upstream.id.value)
         .text("why", why)
@@ -150,7 +151,7 @@
 
 void record_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
                              const char* why) {
-    const auto span = note(context, upstream, why, membership::note_failure);
+    const auto span = update_health(context, upstream, why, membership::note_failure);
     if (span) {
         context.broadcast_suspicion(upstream, *span, why);
     }
@@ -159,12 +160,12 @@
 void record_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
     // Others are not told: some services fail one call in seven, and of many entries one always
     // sees several in a row.
-    note(context, upstream, "error_answers", membership::note_error);
+    update_health(context, upstream, "error_answers", membership::note_error);
 }
 
 void record_upstream_success(entry_context& context, const base::upstream_instance& upstream) {
-    if (auto* one = fleet::find_instance(context.state.fleet, upstream)) {
-        membership::note_success(one->health, fleet_rules_of(context.settings).health);
+    if (auto* member = fleet::find_instance(context.state.fleet, upstream)) {
+        membership::note_success(member->health, fleet_rules_of(context.settings).health);
     }
 }
 
--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -14,7 +14,7 @@
 #include "ports/platform_codec.h"
 #include "proxy/admission.h"
 #include "proxy/connection_pool.h"
-#include "proxy/named_weights.h"
+#include "proxy/weights_history.h"
 #include "quarantine/quarantine.h"
 #include "quota/quota.h"
 #include "settings/settings.h"
--- a/src/proxy/context_tests.cpp
+++ b/src/proxy/context_tests.cpp
@@ -14,25 +14,25 @@
     auto& member = world.state.fleet.members.at({"engine"});
     member.listed.models = {{{"m"}, 1}};
     constexpr std::uint64_t prompt = 9;
-    constexpr std::int64_t room = 10000;
-    const auto read_at = [&](std::int64_t weights) {
+    constexpr std::int64_t capacity_tokens = 10000;
+    const auto cache_prompt = [&](std::int64_t weights) {
         kvcache::prompt_read read;
         read.levels = {{prompt, 4000}};
         read.weights = weights;
         read.by = fleet::instance_of(member);
-        kvcache::note_read(world.state.cache, read, room, world.entry().now());
+        kvcache::note_read(world.state.cache, read, capacity_tokens, world.entry().now());
     };
     const auto holds = [&](std::int64_t weights) {
         return kvcache::holds_level(world.state.cache, {"engine"},
                                     kvcache::key_at(prompt, weights));
     };
-    read_at(1);
+    cache_prompt(1);
     REQUIRE(holds(1));
 
     SECTION("when it holds newer ones") {
         proxy::record_weights(world.entry(), fleet::instance_of(member), {"m"}, 2);
         CHECK_FALSE(holds(1));
-        read_at(2);
+        cache_prompt(2);
         CHECK(holds(2));
     }
     SECTION("but not on late news of those that it holds") {
--- /dev/null
+++ b/src/proxy/crash_detector.cpp
@@ -0,0 +1,188 @@
+#include "proxy/crash_detector.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace camphorrail::proxy {
+
+namespace {
+
+using adapters::importance;
+
+// A VM that is up refuses a connection within a round trip.
+constexpr base::milliseconds probe_timeout{250};
+// A crashed upstream is replaced in the list within this time.
+constexpr base::seconds broken_upstream_ttl{6};
+// All connections to a crashed upstream break within this time.
+constexpr base::milliseconds victim_collection_time{20};
+// Crashes told in a row, and one more at each tick. When a hundred upstreams lose power at once,
+// nothing can be learned from it, and telling of each would fill the links between the entries.
+constexpr int max_report_burst = 10;
+constexpr std::size_t max_reported_victims = 64;
+
+} // namespace
+
+crash_detector::crash_detector(entry_context& context)
+    : context(context), report_timer(context.loop.base(), [this] { this->broadcast_crashes(); }),
+      reports_left(max_report_burst) {}
+
+void crash_detector::record_broken_attempt(const broken_attempt& broken) {
+    auto& found = this->broken_upstreams[broken.upstream];
+    if (found.crashed) {
+        this->add_victims(broken.upstream, found.first_at, {broken.victim});
+        return;
+    }
+    found.victims.push_back(broken.victim);
+    if (found.victims.size() == 1) {
+        found.address = broken.address;
+        found.first_at = this->context.now();
+        this->probe(broken.upstream, found);
+    }
+}
+
+void crash_detector::probe(const base::upstream_instance& upstream, broken_upstream& found) {
+    found.probe = std::make_unique<adapters::address_probe>(
+        this->context.loop.base(), found.address, probe_timeout,
+        [this, upstream](adapters::address_state state) {
+            const auto known = this->broken_upstreams.find(upstream);
+            if (known != this->broken_upstreams.end() &&
+                state == adapters::address_state::refused) {
+                this->record_crash(upstream, known->second, "connection_refused");
+            }
+        });
+}
+
+void crash_detector::record_ended(const base::upstream_instance& ended) {
+    const auto known = this->broken_upstreams.find(ended);
+    if (known != this->broken_upstreams.end()) {
+        this->record_crash(ended, known->second, "replaced");
+    }
+}
+
+void crash_detector::record_replaced(const base::upstream_id& replaced) {
+    for (auto& [upstream, found] : this->broken_upstreams) {
+        if (upstream.id == replaced) {
+            this->record_crash(upstream, found, "replaced");
+        }
+    }
+}
+
+void crash_detector::record_crash(const base::upstream_instance& upstream, broken_upstream& found,
+                                  const char* detected_by) {
+    if (found.crashed) {
+        return;
+    }
+    found.crashed = true;
+    this->context.log.line(importance::keep, "upstream_crashed")
+        .text("upstream", upstream.id.value)
+        .number("incarnation", upstream.incarnation.value)
+        .number("requests", static_cast<std::int64_t>(found.victims.size()))
+        .text("seen_by", detected_by)
+        .span("after_ms", this->context.now() - found.first_at);
+    this->context.metrics.count("camphorrail_upstream_crashes_total");
+    this->add_victims(upstream, found.first_at, std::exchange(found.victims, {}));
+}
+
+void crash_detector::add_victims(const base::upstream_instance& upstream, base::instant at,
+                                 const std::vector<quarantine::crash_victim>& victims) {
+    const quarantine::crash_report report{upstream, at, victims};
+    quarantine::note_crash(this->context.state.quarantine, report, this->context.now(), {});
+    auto& pending = this->unreported[upstream];
+    pending.upstream = upstream;
+    pending.at = at;
+    pending.victims.insert(pending.victims.end(), victims.begin(), victims.end());
+    this->report_timer.set(victim_collection_time);
+}
+
+void crash_detector::broadcast_crashes() {
+    for (auto& [upstream, report] : this->unreported) {
+        if (this->reports_left == 0) {
+            this->context.metrics.count("camphorrail_upstream_crashes_untold_total");
+            continue;
+        }
+        --this->reports_left;
+        report.victims.resize(std::min(report.victims.size(), max_reported_victims));
+        this->broadcast(peering::to_message(report, this->context.now()));
+    }
+    this->unreported.clear();
+}
+
+void crash_detector::receive(const base::entry_id& from, const peering::crash_report& message,
+                             base::instant written) {
+    const base::instant now = this->context.now();
+    const auto report = peering::from_message(message, written);
+    quarantine::note_crash(this->context.state.quarantine, report, now, {});
+    this->context.log.line(importance::keep, "upstream_crash_told")
+        .text("upstream", message.upstream.id.value)
+        .text("entry", from.value)
+        .number("requests", static_cast<std::int64_t>(message.victims.size()))
+        .span("age_ms", now - report.at);
+}
+
+void crash_detector::receive(const base::entry_id& from, const peering::quarantine_notice& message,
+                             base::instant written) {
+    const base::micros max_span = quarantine::quarantine_rules{}.longest_hold;
+    const base::micros left = message.remaining - (this->context.now() - written);
+    const bool is_valid = left > base::micros(0) && message.remaining <= max_span;
+    if (is_valid) {
+        this->apply_hold({message.request, left, 0}, from.value.c_str());
+    }
+}
+
+void crash_detector::restore_hold(const quarantine::hold& recorded) {
+    auto hold = recorded;
+    hold.end_unknown = true;
+    this->apply_hold(hold, "store");
+}
+
+void crash_detector::apply_hold(const quarantine::hold& hold, const char* source) {
+    auto& state = this->context.state.quarantine;
+    const base::instant now = this->context.now();
+    const auto digest = hold.request.digest;
+    const bool known = quarantine::judge(state, digest, now, {}).what == quarantine::verdict::held;
+    const auto apply = hold.end_unknown ? quarantine::hold_by_record : quarantine::hold_back;
+    apply(state, hold.request, hold.span, now, {});
+    if (!known) {
+        this->log_hold(hold, source);
+        this->hold_started(hold, false);
+    }
+}
+
+void crash_detector::log_hold(const quarantine::hold& hold, const char* source) {
+    this->context.log.line(importance::keep, "request_quarantined")
+        .text("digest", hold.request.digest.value)
+        .number("body_bytes", static_cast<std::int64_t>(hold.request.body_bytes))
+        .number("crashes", static_cast<std::int64_t>(hold.crashes))
+        .span("for_ms", hold.span)
+        .text("told_by", source);
+}
+
+std::vector<peering::message> crash_detector::initial_messages() const {
+    std::vector<peering::message> all;
+    for (const auto& hold : quarantine::held(this->context.state.quarantine, this->context.now())) {
+        if (!hold.end_unknown) {
+            all.emplace_back(peering::quarantine_notice{
+                hold.request, std::chrono::duration_cast<base::milliseconds>(hold.span)});
+        }
+    }
+    return all;
+}
+
+void crash_detector::tick() {
+    const base::instant now = this->context.now();
+    this->reports_left = std::min(this->reports_left + 1, max_report_burst);
+    std::erase_if(this->broken_upstreams, [now](const auto& each) {
+        return now - each.second.first_at > broken_upstream_ttl;
+    });
+    auto& state = this->context.state.quarantine;
+    for (const auto& hold : quarantine::take_decisions(state, now, {})) {
+        this->log_hold(hold, "");
+        this->context.metrics.count("camphorrail_requests_quarantined_total");
+        this->broadcast(peering::quarantine_notice{
+            hold.request, std::chrono::duration_cast<base::milliseconds>(hold.span)});
+        this->hold_started(hold, true);
+    }
+    quarantine::expire(state, now, {});
+}
+
+} // namespace camphorrail::proxy
--- a/src/proxy/crash_watch.h
+++ b/src/proxy/crash_detector.h
@@ -18,33 +18,34 @@
 // A connection may break for many reasons: it was reset, an answer was garbled, the upstream cut
 // off what it could not finish. Where nobody listens at the upstream's address right after, or
 // another upstream has taken its place, its process has ended.
-class crash_watch {
+class crash_detector {
 public:
-    explicit crash_watch(entry_context& context);
+    explicit crash_detector(entry_context& context);
 
-    void note_broken(const broken_attempt& broken);
+    void record_broken_attempt(const broken_attempt& broken);
     // The platform's list shows that an upstream, in that life, has ended.
-    void note_ended(const base::upstream_instance& ended);
+    void record_ended(const base::upstream_instance& ended);
     // Another upstream has taken its address. This entry may never have known the one before.
-    void note_replaced(const base::upstream_id& replaced);
+    void record_replaced(const base::upstream_id& replaced);
     // What another entry told, and when it wrote that.
-    void take(const base::entry_id& from, const peering::crash_report& told, base::instant written);
-    void take(const base::entry_id& from, const peering::quarantine_notice& told,
-              base::instant written);
+    void receive(const base::entry_id& from, const peering::crash_report& message,
+                 base::instant written);
+    void receive(const base::entry_id& from, const peering::quarantine_notice& message,
+                 base::instant written);
     // A hold that stands in the platform's store.
-    void take_written(const quarantine::hold& written);
+    void restore_hold(const quarantine::hold& recorded);
     // What an entry is told that has just linked: all holds whose end is known.
-    [[nodiscard]] std::vector<peering::message> greeting() const;
+    [[nodiscard]] std::vector<peering::message> initial_messages() const;
     void tick();
 
     // Tells the other entries.
-    std::function<void(const peering::message&)> tell;
+    std::function<void(const peering::message&)> broadcast;
     // A request is held back from now on; `decided_here`: by this entry and not on another's word.
-    std::function<void(const quarantine::hold&, bool decided_here)> held_back;
+    std::function<void(const quarantine::hold&, bool decided_here)> hold_started;
 
 private:
     // What has broken at one upstream, in one of its lives.
-    struct breakage {
+    struct broken_upstream {
         std::string address;
         std::vector<quarantine::crash_victim> victims;
         base::instant first_at{};
@@ -52,20 +53,21 @@
         std::unique_ptr<adapters::address_probe> probe;
     };
 
-    void probe(const base::upstream_instance& upstream, breakage& found);
-    void note_crash(const base::upstream_instance& upstream, breakage& found, const char* seen_by);
+    void probe(const base::upstream_instance& upstream, broken_upstream& found);
+    void record_crash(const base::upstream_instance& upstream, broken_upstream& found,
+                      const char* detected_by);
     void add_victims(const base::upstream_instance& upstream, base::instant at,
                      const std::vector<quarantine::crash_victim>& victims);
-    void tell_crashes();
-    void adopt(const quarantine::hold& given, const char* told_by);
-    void log_hold(const quarantine::hold& begun, const char* told_by);
+    void broadcast_crashes();
+    void apply_hold(const quarantine::hold& hold, const char* source);
+    void log_hold(const quarantine::hold& hold, const char* source);
 
     entry_context& context;
-    std::map<base::upstream_instance, breakage> broken;
+    std::map<base::upstream_instance, broken_upstream> broken_upstreams;
     // Crashes that other entries have not been told of yet.
-    std::map<base::upstream_instance, quarantine::crash_report> untold;
-    adapters::timer tell_timer;
-    int tells_left;
+    std::map<base::upstream_instance, quarantine::crash_report> unreported;
+    adapters::timer report_timer;
+    int reports_left;
 };
 
 } // namespace camphorrail::proxy
--- a/src/proxy/crash_watch_tests.cpp
+++ b/src/proxy/crash_detector_tests.cpp
@@ -51,7 +51,7 @@
         // Ejections and suspicions are over.
         this->world.move_clock(base::seconds(1));
         this->world.prove_config();
-        this->world.crash_watch().tick();
+        this->world.crash_detector().tick();
     }
 
     tests::proxy_world& world;
@@ -98,7 +98,7 @@
             REQUIRE(heard.has_value());
             if (const auto* hold =
                     std::get_if<peering::quarantine_notice>(&heard.value().payload)) {
-                other.crash_watch().take({"entry-1"}, *hold, other.entry().now());
+                other.crash_detector().receive({"entry-1"}, *hold, other.entry().now());
             }
         }
         const auto seen = other.call(tests::request(route, "elsewhere", fatal_body));
@@ -120,8 +120,8 @@
         return engine_script{{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
     });
     const auto identity = quarantine::identify({"/safe/x", "north", "same bytes"});
-    world.crash_watch().take({"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)},
-                             world.entry().now());
+    world.crash_detector().receive(
+        {"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)}, world.entry().now());
     const std::string of_north = tests::request("safe", "r1", "same bytes");
     std::string of_south = tests::request("safe", "r2", "same bytes");
     of_south.replace(of_south.find("k1"), 2, "k2");
@@ -143,11 +143,11 @@
     };
     const auto wait = [&world](base::micros span) {
         world.move_clock(span);
-        world.crash_watch().tick();
+        world.crash_detector().tick();
     };
 
     SECTION("it holds") {
-        world.crash_watch().take_written(written);
+        world.crash_detector().restore_hold(written);
         CHECK(is_held());
         wait(base::minutes(9));
         CHECK(is_held());
@@ -155,33 +155,34 @@
         CHECK_FALSE(is_held());
     }
     SECTION("nobody is told of an end that is not known") {
-        world.crash_watch().take_written(written);
-        CHECK(world.crash_watch().greeting().empty());
+        world.crash_detector().restore_hold(written);
+        CHECK(world.crash_detector().initial_messages().empty());
     }
     SECTION("another entry's word of its end counts") {
-        const bool word_first = GENERATE(true, false);
-        CAPTURE(word_first);
-        if (!word_first) {
-            world.crash_watch().take_written(written);
+        const bool notice_first = GENERATE(true, false);
+        CAPTURE(notice_first);
+        if (!notice_first) {
+            world.crash_detector().restore_hold(written);
         }
-        world.crash_watch().take({"entry-2"},
-                                 peering::quarantine_notice{identity, base::minutes(1)},
-                                 world.entry().now());
-        if (word_first) {
-            world.crash_watch().take_written(written);
+        world.crash_detector().receive({"entry-2"},
+                                       peering::quarantine_notice{identity, base::minutes(1)},
+                                       world.entry().now());
+        if (notice_first) {
+            world.crash_detector().restore_hold(written);
         }
         CHECK(is_held());
-        REQUIRE(world.crash_watch().greeting().size() == 1);
-        const auto told = std::get<peering::quarantine_notice>(world.crash_watch().greeting()[0]);
-        CHECK(told.remaining <= base::minutes(1));
+        REQUIRE(world.crash_detector().initial_messages().size() == 1);
+        const auto notice =
+            std::get<peering::quarantine_notice>(world.crash_detector().initial_messages()[0]);
+        CHECK(notice.remaining <= base::minutes(1));
         wait(base::seconds(61));
         CHECK_FALSE(is_held());
     }
     SECTION("what is known to hold for longer does so") {
-        world.crash_watch().take({"entry-2"},
-                                 peering::quarantine_notice{identity, base::minutes(20)},
-                                 world.entry().now());
-        world.crash_watch().take_written(written);
+        world.crash_detector().receive({"entry-2"},
+                                       peering::quarantine_notice{identity, base::minutes(20)},
+                                       world.entry().now());
+        world.crash_detector().restore_hold(written);
         wait(base::minutes(19));
         CHECK(is_held());
     }
@@ -284,7 +285,7 @@
         world.call(tests::request("safe", "r" + std::to_string(each), "unlucky"));
         world.move_clock(base::seconds(5));
         world.prove_config();
-        world.crash_watch().tick();
+        world.crash_detector().tick();
     }
     CHECK(world.state.quarantine.suspects.empty());
 }
@@ -299,8 +300,8 @@
     world.call_until(tests::request("once", "r1", fatal_body),
                      [&engine] { return engine.requests.size() == 1; });
     const auto identity = quarantine::identify({"/once/x", "north", fatal_body});
-    world.crash_watch().take({"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)},
-                             world.entry().now());
+    world.crash_detector().receive(
+        {"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)}, world.entry().now());
     REQUIRE(world.run_until([&] { return engine.closed_by_peer == 1; }));
     // It may have run.
     REQUIRE(world.run_until([&world] { return !world.last_seen().heads.empty(); }));
@@ -314,9 +315,9 @@
     });
     world.call(tests::request("once", "r1", "unlucky"));
     CHECK(world.state.quarantine.suspects.empty());
-    world.crash_watch().note_replaced({"never known"});
+    world.crash_detector().record_replaced({"never known"});
     CHECK(world.state.quarantine.suspects.empty());
-    world.crash_watch().note_replaced({"i-1"});
+    world.crash_detector().record_replaced({"i-1"});
     CHECK(world.state.quarantine.suspects.size() == 1);
 }
 
@@ -330,10 +331,10 @@
     std::vector<tests::scripted_engine*> engines;
     for (int each = 0; each < 6; ++each) {
         engines.push_back(&world.add_engine("i-" + std::to_string(each), answer));
-        auto& one = world.state.fleet.members.at({"i-" + std::to_string(each)});
+        auto& member = world.state.fleet.members.at({"i-" + std::to_string(each)});
         // The one with the most work has the most slots, and so the least load for its size.
-        one.local_work.in_flight = 6 - each;
-        one.listed.slots = 1000 / (each * each + 1);
+        member.local_work.in_flight = 6 - each;
+        member.listed.slots = 1000 / (each * each + 1);
     }
     const auto suspect = quarantine::identify({"/safe/x", "north", "suspect"});
     const auto other = quarantine::identify({"/safe/x", "north", "another"});
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -14,28 +14,28 @@
 
 constexpr int status_ok = 200;
 // A store answers when something has changed, or else after this long.
-constexpr base::milliseconds longest_wait{1000};
+constexpr base::milliseconds max_wait{1000};
 // Changes come many times a second; asked less often, they come in larger answers.
-constexpr base::milliseconds ask_pause{250};
+constexpr base::milliseconds request_pause{250};
 // Beyond the wait: two ways through the region, and a loaded machine's turn.
-constexpr base::milliseconds answer_time{400};
+constexpr base::milliseconds response_margin{400};
 // After a failure, before it is held to be down.
 constexpr base::milliseconds retry_pause{50};
 constexpr base::milliseconds down_pause{500};
 constexpr int failures_to_down = 2;
 // Somebody tells of each store at least every 1.3 s; whoever is next in line waits for so long, and
 // the one after it twice as long.
-constexpr base::seconds silence_a_place{2};
+constexpr base::seconds silence_per_place{2};
 // So many in line ask a store that was said to be down, since the first may be cut off itself.
-constexpr std::size_t places_that_check = 3;
+constexpr std::size_t places_probing_down_store = 3;
 // A store of 1.2 million tokens lists about 500 parts of 50 bytes.
-constexpr std::size_t most_answer_bytes = 4U << 20U;
+constexpr std::size_t max_response_bytes = 4U << 20U;
 
 } // namespace
 
 kv_store_follower::kv_store_follower(entry_context& context,
-                                     std::function<std::vector<base::entry_id>()> linked_entries)
-    : context(context), linked_entries(std::move(linked_entries)) {}
+                                     std::function<std::vector<base::entry_id>()> connected_entries)
+    : context(context), connected_entries(std::move(connected_entries)) {}
 
 void kv_store_follower::tick() {
     if (this->context.state.config == nullptr) {
@@ -46,105 +46,106 @@
         const auto [found, is_new] = this->stores.try_emplace(each.address);
         auto& store = found->second;
         if (is_new) {
-            store.told_at = now;
+            store.last_reported_at = now;
         }
-        if (store.asking || now < store.next_ask) {
+        if (store.request_pending || now < store.next_request_at) {
             continue;
         }
-        const bool ours = this->is_our_turn(each.address, store);
-        if (ours != store.followed) {
-            store.followed = ours;
+        const bool our_turn = this->is_our_turn(each.address, store);
+        if (our_turn != store.followed) {
+            store.followed = our_turn;
             store.listed = false;
-            this->context.log.line(importance::keep, ours ? "kv_store_followed" : "kv_store_left")
+            this->context.log
+                .line(importance::keep, our_turn ? "kv_store_followed" : "kv_store_left")
                 .text("store", each.address);
         }
-        if (ours) {
-            this->ask(each.address, store);
+        if (our_turn) {
+            this->send_request(each.address, store);
         }
     }
 }
 
 bool kv_store_follower::is_our_turn(const std::string& address, const followed_store& store) const {
     const std::size_t place =
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, address);
+        entries::place_in_line(this->connected_entries(), this->context.settings.id, address);
     const auto known = this->context.state.stored_prompts.find(address);
     const bool down = known != this->context.state.stored_prompts.end() && known->second.down;
-    const auto unheard = this->context.now() - store.told_at;
-    return place == 0 || unheard > silence_a_place * static_cast<std::int64_t>(place) ||
-           (down && place < places_that_check);
+    const auto silence = this->context.now() - store.last_reported_at;
+    return place == 0 || silence > silence_per_place * static_cast<std::int64_t>(place) ||
+           (down && place < places_probing_down_store);
 }
 
-void kv_store_follower::ask(const std::string& address, followed_store& store) {
-    store.asking = true;
+void kv_store_follower::send_request(const std::string& address, followed_store& store) {
+    store.request_pending = true;
     const bool listing = !store.listed;
-    const auto& words = this->context.codec;
-    const auto wait = store.failures > 0 ? base::milliseconds(0) : longest_wait;
-    const auto call =
-        listing ? words.cache_listing_request : words.make_cache_changes_request(store.next, wait);
+    const auto& codec = this->context.codec;
+    const auto wait = store.failures > 0 ? base::milliseconds(0) : max_wait;
+    const auto call = listing ? codec.cache_listing_request
+                              : codec.make_cache_changes_request(store.next_sequence, wait);
     adapters::http_fetch(
-        this->context.loop.base(), address, to_call(call), {wait + answer_time, false},
-        most_answer_bytes, [this, address, listing](base::result<adapters::http_answer> answer) {
-            this->stores.at(address).asking = false;
-            const bool fine = answer.has_value() && answer.value().status == status_ok;
-            const auto& words = this->context.codec;
-            const auto read = !fine     ? base::code::upstream_failed
-                              : listing ? words.parse_cache_listing(answer.value().body)
-                                        : words.parse_cache_changes(answer.value().body);
+        this->context.loop.base(), address, to_call(call), {wait + response_margin, false},
+        max_response_bytes, [this, address, listing](base::result<adapters::http_answer> answer) {
+            this->stores.at(address).request_pending = false;
+            const bool succeeded = answer.has_value() && answer.value().status == status_ok;
+            const auto& codec = this->context.codec;
+            const auto read = !succeeded ? base::code::upstream_failed
+                              : listing  ? codec.parse_cache_listing(answer.value().body)
+                                         : codec.parse_cache_changes(answer.value().body);
             if (read.has_value()) {
-                this->take_answer(address, read.value(), listing);
+                this->handle_answer(address, read.value(), listing);
             } else {
-                this->take_failure(address);
+                this->handle_failure(address);
             }
         });
 }
 
-void kv_store_follower::take_answer(const std::string& address, const ports::cache_update& news,
-                                    bool listing) {
+void kv_store_follower::handle_answer(const std::string& address, const ports::cache_update& update,
+                                      bool listing) {
     auto& store = this->stores.at(address);
     const base::instant now = this->context.now();
     store.failures = 0;
-    const bool lost = !listing && (news.has_gap || news.incarnation != store.incarnation);
+    const bool lost = !listing && (update.has_gap || update.incarnation != store.incarnation);
     store.listed = !lost;
-    store.incarnation = news.incarnation;
-    store.next = news.next_sequence;
-    store.next_ask = lost ? now : now + ask_pause;
-    this->note_reachable(address, true);
+    store.incarnation = update.incarnation;
+    store.next_sequence = update.next_sequence;
+    store.next_request_at = lost ? now : now + request_pause;
+    this->log_reachability(address, true);
     if (lost) {
         return;
     }
-    peering::kv_store_contents told{address, listing, false, {}};
-    for (const auto& each : news.parts) {
-        told.parts.push_back({kvcache::part_key(each.salt, each.part), each.tokens});
+    peering::kv_store_contents contents{address, listing, false, {}};
+    for (const auto& each : update.parts) {
+        contents.parts.push_back({kvcache::part_key(each.salt, each.part), each.tokens});
     }
-    auto& kept = this->context.state.stored_prompts[address];
+    auto& stored = this->context.state.stored_prompts[address];
     if (listing) {
-        kvcache::take_listing(kept, told.parts, now);
+        kvcache::take_listing(stored, contents.parts, now);
     } else {
-        kvcache::take_changes(kept, told.parts, now);
+        kvcache::take_changes(stored, contents.parts, now);
     }
-    this->tell(told);
+    this->broadcast(contents);
 }
 
-void kv_store_follower::take_failure(const std::string& address) {
+void kv_store_follower::handle_failure(const std::string& address) {
     auto& store = this->stores.at(address);
     const base::instant now = this->context.now();
     ++store.failures;
     if (store.failures < failures_to_down) {
-        store.next_ask = now + retry_pause;
+        store.next_request_at = now + retry_pause;
         return;
     }
     store.listed = false;
-    store.next_ask = now + down_pause;
-    auto& kept = this->context.state.stored_prompts[address];
-    const bool news = !kept.down;
-    kvcache::note_down(kept, now);
-    if (news) {
-        this->note_reachable(address, false);
-        this->tell({address, false, true, {}});
+    store.next_request_at = now + down_pause;
+    auto& stored = this->context.state.stored_prompts[address];
+    const bool went_down = !stored.down;
+    kvcache::note_down(stored, now);
+    if (went_down) {
+        this->log_reachability(address, false);
+        this->broadcast({address, false, true, {}});
     }
 }
 
-void kv_store_follower::note_reachable(const std::string& address, bool reachable) {
+void kv_store_follower::log_reachability(const std::string& address, bool reachable) {
     const auto known = this->context.state.stored_prompts.find(address);
     const bool was_down = known != this->context.state.stored_prompts.end() && known->second.down;
     if (reachable != was_down) {
@@ -154,26 +155,27 @@
         .text("store", address);
 }
 
-void kv_store_follower::take(const base::entry_id& from, const peering::kv_store_contents& told) {
+void kv_store_follower::receive(const base::entry_id& from,
+                                const peering::kv_store_contents& contents) {
     const base::instant now = this->context.now();
-    this->stores[told.store].told_at = now;
-    auto& kept = this->context.state.stored_prompts[told.store];
-    if (told.unreachable != kept.down) {
+    this->stores[contents.store].last_reported_at = now;
+    auto& stored = this->context.state.stored_prompts[contents.store];
+    if (contents.unreachable != stored.down) {
         this->context.log
-            .line(importance::keep, told.unreachable ? "kv_store_lost" : "kv_store_regained")
-            .text("store", told.store)
+            .line(importance::keep, contents.unreachable ? "kv_store_lost" : "kv_store_regained")
+            .text("store", contents.store)
             .text("entry", from.value);
     }
-    if (told.unreachable) {
-        kvcache::note_down(kept, now);
-    } else if (told.complete) {
-        kvcache::take_listing(kept, told.parts, now);
+    if (contents.unreachable) {
+        kvcache::note_down(stored, now);
+    } else if (contents.complete) {
+        kvcache::take_listing(stored, contents.parts, now);
     } else {
-        kvcache::take_changes(kept, told.parts, now);
+        kvcache::take_changes(stored, contents.parts, now);
     }
 }
 
-std::vector<peering::message> kv_store_follower::whole_views() const {
+std::vector<peering::message> kv_store_follower::complete_views() const {
     std::vector<peering::message> views;
     for (const auto& [address, store] : this->stores) {
         const auto known = this->context.state.stored_prompts.find(address);
--- a/src/proxy/kv_store_follower_tests.cpp
+++ b/src/proxy/kv_store_follower_tests.cpp
@@ -12,24 +12,24 @@
     tests::proxy_world world;
     std::string listing = R"({"bootEpoch":7,"next":3,"held":[["m.1","aa",2520,"m"]]})";
     std::string changes = R"({"bootEpoch":7,"next":3,"lost":false,"events":[]})";
-    std::vector<base::entry_id> linked;
-    std::vector<peering::kv_store_contents> told;
+    std::vector<base::entry_id> connected;
+    std::vector<peering::kv_store_contents> sent;
     tests::scripted_engine& store;
     proxy::kv_store_follower follower;
 
     store_world()
         : store(this->world.add_engine(
               "kept",
-              [this](const tests::engine_request& asked) {
-                  const bool all = asked.head.target == "/kv-list";
+              [this](const tests::engine_request& request) {
+                  const bool all = request.head.target == "/kv-list";
                   const auto text = tests::answer("", all ? this->listing : this->changes);
                   return tests::engine_script{{tests::engine_step::kind::send, text}};
               })),
-          follower(this->world.entry(), [this] { return this->linked; }) {
+          follower(this->world.entry(), [this] { return this->connected; }) {
         this->world.config.kv_stores = {{this->store.address(), {"a"}, 1000}};
         this->world.prove_config();
-        this->follower.tell = [this](const peering::kv_store_contents& message) {
-            this->told.push_back(message);
+        this->follower.broadcast = [this](const peering::kv_store_contents& message) {
+            this->sent.push_back(message);
         };
     }
 
@@ -42,7 +42,7 @@
         });
     }
 
-    [[nodiscard]] std::int64_t held(const std::string& part) {
+    [[nodiscard]] std::int64_t stored_tokens(const std::string& part) {
         const auto& parts = this->world.state.stored_prompts[this->store.address()].parts;
         const auto found = parts.find(kvcache::part_key("m.1", part));
         return found == parts.end() ? 0 : found->second;
@@ -53,38 +53,40 @@
 
 TEST_CASE("an entry follows a store of kept cache for all", "[proxy]") {
     store_world world;
-    REQUIRE(world.tick_until([&] { return world.held("aa") == 2520; }));
-    CHECK(world.told.front().complete);
-    CHECK(world.told.front().parts.size() == 1);
+    REQUIRE(world.tick_until([&] { return world.stored_tokens("aa") == 2520; }));
+    CHECK(world.sent.front().complete);
+    CHECK(world.sent.front().parts.size() == 1);
 
     SECTION("and tells what changes there") {
         world.changes = R"({"bootEpoch":7,"next":5,"lost":false,
             "events":[[4,"+","m.1","bb",100,"m"],[5,"-","m.1","aa",0,"m"]]})";
-        CHECK(world.tick_until([&] { return world.held("bb") == 100 && world.held("aa") == 0; }));
-        CHECK_FALSE(world.told.back().complete);
+        CHECK(world.tick_until(
+            [&] { return world.stored_tokens("bb") == 100 && world.stored_tokens("aa") == 0; }));
+        CHECK_FALSE(world.sent.back().complete);
     }
     // Events come late and some never come. The store says that some are lost, and what was built
     // on them would go wrong without a sign; so everything is read anew.
     SECTION("and reads all of it again after a gap") {
         world.listing = R"({"bootEpoch":7,"next":9,"held":[["m.1","cc",50,"m"]]})";
         world.changes = R"({"bootEpoch":7,"next":9,"lost":true,"events":[]})";
-        CHECK(world.tick_until([&] { return world.held("cc") == 50 && world.held("aa") == 0; }));
+        CHECK(world.tick_until(
+            [&] { return world.stored_tokens("cc") == 50 && world.stored_tokens("aa") == 0; }));
     }
     SECTION("and after the store has come back empty") {
         world.listing = R"({"bootEpoch":8,"next":0,"held":[]})";
         world.changes = R"({"bootEpoch":8,"next":0,"lost":false,"events":[]})";
-        CHECK(world.tick_until([&] { return world.held("aa") == 0; }));
+        CHECK(world.tick_until([&] { return world.stored_tokens("aa") == 0; }));
     }
     // The store goes down. Engines that were told to fetch from it would wait for it with every
     // prompt, so all entries hear of it at once.
     SECTION("and says when it takes no connections") {
         world.store.stop_listening();
-        CHECK(world.tick_until([&] { return world.told.back().unreachable; }));
+        CHECK(world.tick_until([&] { return world.sent.back().unreachable; }));
         CHECK(world.world.state.stored_prompts[world.store.address()].down);
-        CHECK(world.held("aa") == 0);
+        CHECK(world.stored_tokens("aa") == 0);
     }
     SECTION("and an entry that links to it later hears all") {
-        const auto views = world.follower.whole_views();
+        const auto views = world.follower.complete_views();
         REQUIRE(views.size() == 1);
         CHECK(std::get<peering::kv_store_contents>(views.front()).parts.size() == 1);
     }
@@ -95,22 +97,22 @@
     store_world world;
     // Enough others that some come before this entry, whatever the store's port is.
     for (int each = 0; each < 64; ++each) {
-        world.linked.push_back({"entry-" + std::to_string(each)});
+        world.connected.push_back({"entry-" + std::to_string(each)});
     }
     world.follower.tick();
-    world.follower.take(
+    world.follower.receive(
         {"entry-1"}, {world.store.address(), true, false, {{kvcache::part_key("m.1", "dd"), 70}}});
-    CHECK(world.held("dd") == 70);
+    CHECK(world.stored_tokens("dd") == 70);
     world.world.move_clock(base::seconds(1));
     world.follower.tick();
     CHECK(world.store.connections == 0);
 
     SECTION("until nobody has told of it for some time") {
         world.world.move_clock(base::seconds(200));
-        CHECK(world.tick_until([&] { return world.held("aa") == 2520; }));
+        CHECK(world.tick_until([&] { return world.stored_tokens("aa") == 2520; }));
     }
     SECTION("and what they hear of its end counts for them too") {
-        world.follower.take({"entry-1"}, {world.store.address(), false, true, {}});
+        world.follower.receive({"entry-1"}, {world.store.address(), false, true, {}});
         CHECK(world.world.state.stored_prompts[world.store.address()].down);
     }
 }
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -17,21 +17,22 @@
 // Entries ask for the vacant lead in the order of their line, so that one asks and the others hear
 // of it; with all at once, a hundred took a lease each. The last ones do so in time even where all
 // before them are cut off from the store.
-constexpr base::milliseconds campaign_step{250};
-constexpr base::milliseconds longest_campaign_wait{3000};
+constexpr base::milliseconds campaign_delay_per_place{250};
+constexpr base::milliseconds max_campaign_delay{3000};
 // Links stand by then; before, each entry takes itself for the first in line.
-constexpr base::milliseconds first_campaign{1000};
-const std::string duty = "leader";
+constexpr base::milliseconds startup_delay{1000};
+const std::string duty_name = "leader";
 // Entries that see the leader's key go at the same time ask one after the other.
-constexpr std::uint64_t campaign_spread_ms = 300;
+constexpr std::uint64_t campaign_jitter_ms = 300;
 constexpr std::int64_t lease_seconds = 3;
 
 } // namespace
 
 leadership::leadership(entry_context& context, ports::platform platform,
-                       std::function<std::vector<base::entry_id>()> linked_entries)
-    : context(context), platform(std::move(platform)), linked_entries(std::move(linked_entries)),
-      next_campaign(context.now() + first_campaign) {}
+                       std::function<std::vector<base::entry_id>()> connected_entries)
+    : context(context), platform(std::move(platform)),
+      connected_entries(std::move(connected_entries)),
+      next_campaign(context.now() + startup_delay) {}
 
 std::string leadership::name() const {
     return this->context.settings.id.value + "@" + this->context.settings.peer_listen;
@@ -52,52 +53,52 @@
     return rules;
 }
 
-bool leadership::may_order() {
-    if (!this->held || !weights::may_order(*this->held, this->context.now())) {
+bool leadership::may_issue_commands() {
+    if (!this->term || !weights::may_order(*this->term, this->context.now())) {
         return false;
     }
-    if (!this->written_down) {
-        this->write_down_orderer();
+    if (!this->orderer_recorded) {
+        this->record_orderer();
     }
-    return this->written_down;
+    return this->orderer_recorded;
 }
 
 // Others wait for the end of the last term in which orders were given; so that must be in the store
 // before the first of them.
-void leadership::write_down_orderer() {
-    if (this->writing_down) {
+void leadership::record_orderer() {
+    if (this->recording_orderer) {
         return;
     }
-    this->writing_down = true;
+    this->recording_orderer = true;
     ports::transaction change;
-    change.preconditions = {{this->leader_key(), this->held->fence}};
+    change.preconditions = {{this->leader_key(), this->term->fence}};
     change.writes = {{this->orderer_key(), this->name(), false, 0}};
-    const std::int64_t fence = this->held->fence;
+    const std::int64_t fence = this->term->fence;
     this->platform.commit(change, [this, fence](base::result<ports::commit_result> done) {
-        this->writing_down = false;
-        if (!this->held || this->held->fence != fence || !done.has_value()) {
+        this->recording_orderer = false;
+        if (!this->term || this->term->fence != fence || !done.has_value()) {
             return;
         }
         if (done.value().applied) {
-            this->written_down = true;
+            this->orderer_recorded = true;
         } else {
-            this->lose("replaced");
+            this->lose_leadership("replaced");
         }
     });
 }
 
-void leadership::note_store_change() {
+void leadership::on_store_change() {
     const auto& items = this->context.state.store.items;
     const auto found = items.find(this->leader_key());
     const std::string holder = found == items.end() ? std::string() : found->second.value;
-    if (holder == this->holder_seen) {
+    if (holder == this->last_seen_holder) {
         return;
     }
     const auto orderer = items.find(this->orderer_key());
-    if (orderer != items.end() && orderer->second.value == this->holder_seen) {
+    if (orderer != items.end() && orderer->second.value == this->last_seen_holder) {
         this->orderer_ended = {orderer->second.mod_revision, this->context.now()};
     }
-    this->holder_seen = holder;
+    this->last_seen_holder = holder;
 }
 
 weights::last_orderer leadership::last_orderer() const {
@@ -117,24 +118,24 @@
 
 void leadership::tick() {
     const base::instant now = this->context.now();
-    if (this->held && now >= this->held->until) {
-        this->lose("lease_ran_out");
+    if (this->term && now >= this->term->until) {
+        this->lose_leadership("lease_ran_out");
     }
-    if (this->asking) {
+    if (this->call_pending) {
         return;
     }
-    this->note_vacancy();
-    if (this->held && now >= this->next_renewal) {
+    this->update_vacancy();
+    if (this->term && now >= this->next_renewal) {
         this->renew();
-    } else if (!this->held && !this->context.state.stopping && now >= this->next_campaign) {
+    } else if (!this->term && !this->context.state.stopping && now >= this->next_campaign) {
         this->campaign();
     }
 }
 
-void leadership::note_vacancy() {
+void leadership::update_vacancy() {
     const auto& store = this->context.state.store;
-    const bool now_vacant = store.revision > 0 && store.items.count(this->leader_key()) == 0;
-    if (!now_vacant) {
+    const bool is_vacant = store.revision > 0 && store.items.count(this->leader_key()) == 0;
+    if (!is_vacant) {
         this->vacant_since.reset();
     } else if (!this->vacant_since) {
         this->vacant_since = this->context.now();
@@ -144,8 +145,8 @@
 // Whether all that come before this entry in line have had their turn to take the vacant lead.
 bool leadership::is_our_turn() const {
     const auto place = static_cast<std::int64_t>(
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, duty));
-    const auto wait = std::min(campaign_step * place, longest_campaign_wait);
+        entries::place_in_line(this->connected_entries(), this->context.settings.id, duty_name));
+    const auto wait = std::min(campaign_delay_per_place * place, max_campaign_delay);
     return this->vacant_since && this->context.now() - *this->vacant_since >= wait;
 }
 
@@ -154,21 +155,21 @@
     if (!this->is_our_turn()) {
         return;
     }
-    const auto spread = base::milliseconds(
+    const auto jitter = base::milliseconds(
         base::stable_hash(this->name(),
                           static_cast<std::uint64_t>(now.time_since_epoch().count())) %
-        campaign_spread_ms);
-    this->next_campaign = now + campaign_period + spread;
-    this->asking = true;
+        campaign_jitter_ms);
+    this->next_campaign = now + campaign_period + jitter;
+    this->call_pending = true;
     this->platform.grant_lease(lease_seconds, [this, now](base::result<std::int64_t> lease) {
-        this->asking = false;
+        this->call_pending = false;
         if (lease.has_value()) {
             this->claim(lease.value(), now);
         }
     });
 }
 
-void leadership::claim(std::int64_t lease, base::instant asked) {
+void leadership::claim(std::int64_t lease, base::instant requested_at) {
     const auto& items = this->context.state.store.items;
     const auto last = items.find(this->orderer_key());
     const std::int64_t last_revision = last == items.end() ? 0 : last->second.mod_revision;
@@ -177,57 +178,57 @@
     // What is known of the last one that ordered must be up to date.
     change.preconditions = {{this->leader_key(), 0}, {this->orderer_key(), last_revision}};
     change.writes = {{this->leader_key(), this->name(), false, lease}};
-    this->asking = true;
-    this->platform.commit(change,
-                          [this, lease, asked, before](base::result<ports::commit_result> done) {
-                              this->asking = false;
-                              if (!done.has_value() || !done.value().applied) {
-                                  return;
-                              }
-                              const base::instant now = this->context.now();
-                              this->held = weights::begin_term(done.value().revision, lease, before,
-                                                               asked, now, this->rules());
-                              this->written_down = false;
-                              this->next_renewal = now + renewal_period;
-                              this->context.log.line(importance::keep, "leader")
-                                  .number("fence", this->held->fence)
-                                  .flag("other_before", before.other)
-                                  .span("orders_after_ms", this->held->from - now);
-                          });
+    this->call_pending = true;
+    this->platform.commit(
+        change, [this, lease, requested_at, before](base::result<ports::commit_result> done) {
+            this->call_pending = false;
+            if (!done.has_value() || !done.value().applied) {
+                return;
+            }
+            const base::instant now = this->context.now();
+            this->term = weights::begin_term(done.value().revision, lease, before, requested_at,
+                                             now, this->rules());
+            this->orderer_recorded = false;
+            this->next_renewal = now + renewal_period;
+            this->context.log.line(importance::keep, "leader")
+                .number("fence", this->term->fence)
+                .flag("other_before", before.other)
+                .span("orders_after_ms", this->term->from - now);
+        });
 }
 
 void leadership::renew() {
-    const base::instant asked = this->context.now();
-    this->next_renewal = asked + renewal_period;
-    this->asking = true;
-    this->platform.renew_lease(this->held->lease, [this, asked](base::result<bool> kept) {
-        this->asking = false;
-        if (!this->held) {
+    const base::instant requested_at = this->context.now();
+    this->next_renewal = requested_at + renewal_period;
+    this->call_pending = true;
+    this->platform.renew_lease(this->term->lease, [this, requested_at](base::result<bool> kept) {
+        this->call_pending = false;
+        if (!this->term) {
             return;
         }
         if (kept.has_value() && kept.value()) {
-            weights::renew(*this->held, asked, this->rules());
+            weights::renew(*this->term, requested_at, this->rules());
         } else if (kept.has_value()) {
-            this->lose("lease_ended");
+            this->lose_leadership("lease_ended");
         }
     });
 }
 
-void leadership::lose(const char* why) {
+void leadership::lose_leadership(const char* why) {
     this->context.log.line(importance::keep, "leader_no_more")
         .text("why", why)
-        .number("fence", this->held->fence);
-    this->held.reset();
-    this->written_down = false;
+        .number("fence", this->term->fence);
+    this->term.reset();
+    this->orderer_recorded = false;
 }
 
 void leadership::resign() {
-    if (!this->held) {
+    if (!this->term) {
         return;
     }
     ports::transaction change;
-    change.preconditions = {{this->leader_key(), this->held->fence}};
-    this->lose("stopping");
+    change.preconditions = {{this->leader_key(), this->term->fence}};
+    this->lose_leadership("stopping");
     change.writes = {{this->leader_key(), "", true, 0}};
     this->platform.commit(change, [this](base::result<ports::commit_result> done) {
         if (!done.has_value()) {
--- a/src/proxy/leadership.h
+++ b/src/proxy/leadership.h
@@ -16,7 +16,7 @@
 public:
     // `linked_entries`: those that a link stands to.
     leadership(entry_context& context, ports::platform platform,
-               std::function<std::vector<base::entry_id>()> linked_entries);
+               std::function<std::vector<base::entry_id>()> connected_entries);
 
     // Looks whether there is something to take over or to renew.
     void tick();
@@ -24,43 +24,43 @@
     void resign();
     // Whether an order may be given now. The first such question of a term only has it written down
     // that this entry orders.
-    [[nodiscard]] bool may_order();
+    [[nodiscard]] bool may_issue_commands();
     // Notes when another entry's term is over; to be called after each change of the mirror.
-    void note_store_change();
-    [[nodiscard]] std::int64_t fence() const { return this->held ? this->held->fence : 0; }
+    void on_store_change();
+    [[nodiscard]] std::int64_t fencing_token() const { return this->term ? this->term->fence : 0; }
     // What upstreams know this holder by.
     [[nodiscard]] std::string name() const;
 
 private:
-    void note_vacancy();
+    void update_vacancy();
     [[nodiscard]] bool is_our_turn() const;
     void campaign();
-    void claim(std::int64_t lease, base::instant asked);
+    void claim(std::int64_t lease, base::instant requested_at);
     void renew();
-    void lose(const char* why);
+    void lose_leadership(const char* why);
     [[nodiscard]] std::string leader_key() const;
     [[nodiscard]] std::string orderer_key() const;
-    void write_down_orderer();
+    void record_orderer();
     [[nodiscard]] weights::last_orderer last_orderer() const;
     [[nodiscard]] weights::term_rules rules() const;
 
     entry_context& context;
     ports::platform platform;
-    std::function<std::vector<base::entry_id>()> linked_entries;
-    std::optional<weights::term> held;
-    bool asking = false;
+    std::function<std::vector<base::entry_id>()> connected_entries;
+    std::optional<weights::term> term;
+    bool call_pending = false;
     // The store holds that this entry orders in this term.
-    bool written_down = false;
-    bool writing_down = false;
+    bool orderer_recorded = false;
+    bool recording_orderer = false;
     // Who holds the leader's key, as last seen.
-    std::string holder_seen;
+    std::string last_seen_holder;
     // When the one that gave the last orders was seen to hold the key no more, and the revision of
     // its record then. A later record is of a later term, whose end was not seen.
-    struct seen_end {
+    struct observed_end {
         std::int64_t orderer_revision = 0;
         base::instant at{};
     };
-    std::optional<seen_end> orderer_ended;
+    std::optional<observed_end> orderer_ended;
     base::instant next_renewal{};
     base::instant next_campaign{};
     // Since when nobody leads, as far as this entry knows.
--- a/src/proxy/leadership_tests.cpp
+++ b/src/proxy/leadership_tests.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 // One entry that asks for the lead, and a store that gives it what it asks for.
-struct lead_world {
+struct leadership_world {
     tests::proxy_world world;
     std::int64_t revision = 5;
     proxy::leadership leader;
 
-    lead_world()
+    leadership_world()
         : leader(this->world.entry(), this->make_platform(),
                  [] { return std::vector<base::entry_id>{}; }) {
         this->world.stop_clock();
-        this->see();
+        this->sync_mirror();
     }
 
     ports::platform make_platform() {
@@ -48,19 +48,19 @@
     }
 
     // The entry reads the store as it is now.
-    void see() {
+    void sync_mirror() {
         this->world.state.store.revision = this->revision;
-        this->leader.note_store_change();
+        this->leader.on_store_change();
     }
 
     // How long it takes until this entry may order; nothing where it may not for long.
-    std::optional<base::milliseconds> time_to_first_order() {
+    std::optional<base::milliseconds> time_to_first_command() {
         constexpr base::milliseconds step{50};
         for (base::milliseconds passed{0}; passed < base::seconds(20); passed += step) {
             this->leader.tick();
             // The first question only has it written down.
-            (void)this->leader.may_order();
-            if (this->leader.may_order()) {
+            (void)this->leader.may_issue_commands();
+            if (this->leader.may_issue_commands()) {
                 return passed;
             }
             this->world.move_clock(step);
@@ -74,35 +74,35 @@
 // The failure: an entry that did not see a term dates its end by that of an earlier one of the same
 // holder, and orders while that holder's last orders are still on their way.
 TEST_CASE("the end of a term in which orders were given is waited for", "[proxy]") {
-    lead_world lead;
-    lead.write("leader", "entry-2");
-    lead.write("orderer", "entry-2");
-    lead.see();
-    lead.world.move_clock(base::seconds(5));
-    lead.erase("leader");
-    lead.see();
-    lead.world.move_clock(base::seconds(10));
+    leadership_world world;
+    world.write("leader", "entry-2");
+    world.write("orderer", "entry-2");
+    world.sync_mirror();
+    world.world.move_clock(base::seconds(5));
+    world.erase("leader");
+    world.sync_mirror();
+    world.world.move_clock(base::seconds(10));
 
     SECTION("from when it was seen") {
-        const auto wait = lead.time_to_first_order();
+        const auto wait = world.time_to_first_command();
         REQUIRE(wait.has_value());
         CHECK(*wait < base::milliseconds(500));
     }
     SECTION("also where another one led since without an order") {
-        lead.write("leader", "entry-3");
-        lead.see();
-        lead.erase("leader");
-        lead.see();
-        const auto wait = lead.time_to_first_order();
+        world.write("leader", "entry-3");
+        world.sync_mirror();
+        world.erase("leader");
+        world.sync_mirror();
+        const auto wait = world.time_to_first_command();
         REQUIRE(wait.has_value());
         CHECK(*wait < base::milliseconds(500));
     }
     SECTION("anew where the same holder gave orders in a term that was not seen") {
-        lead.write("orderer", "entry-2");
-        lead.see();
-        const auto wait = lead.time_to_first_order();
+        world.write("orderer", "entry-2");
+        world.sync_mirror();
+        const auto wait = world.time_to_first_command();
         REQUIRE(wait.has_value());
-        CHECK(*wait >= lead.world.entry().settings.bounds.lease);
+        CHECK(*wait >= world.world.entry().settings.bounds.lease);
     }
 }
 
@@ -138,7 +138,7 @@
         CHECK(leases <= 1);
         const std::string key = world.entry().codec.own_prefix + "leader";
         world.state.store.items[key] = {key, "another", 6};
-        leader.note_store_change();
+        leader.on_store_change();
         tick_for(base::seconds(10));
         CHECK(leases <= 1);
     }
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -9,13 +9,13 @@
 
 // So long for each entry that is told, so that what an entry sends and reads does not grow with
 // their number: with 300 that told each other ten times a second it was 1.1 MB a second.
-constexpr base::milliseconds period_each{5};
+constexpr base::milliseconds period_per_entry{5};
 // Twenty entries that told each other every 350 ms all sent to the same idle engine before one
 // heard of the others.
-constexpr base::milliseconds least_period{40};
+constexpr base::milliseconds min_period{40};
 // A report is believed until two further whole ones have failed to come.
-constexpr int believed_periods = 3;
-constexpr base::milliseconds least_belief{500};
+constexpr int expiry_periods = 3;
+constexpr base::milliseconds min_expiry{500};
 // Where teams have quotas, an entry says that it is there at least this often: a silent one has a
 // part of each quota reserved for it.
 constexpr base::milliseconds heartbeat_period{150};
@@ -26,8 +26,8 @@
            left.short_prompts == right.short_prompts;
 }
 
-base::milliseconds whole_period(std::size_t linked) {
-    return std::max(period_each * static_cast<std::int64_t>(linked), least_period);
+base::milliseconds complete_report_period(std::size_t connected_count) {
+    return std::max(period_per_entry * static_cast<std::int64_t>(connected_count), min_period);
 }
 
 bool is_empty(const peering::entry_load& load) {
@@ -38,36 +38,38 @@
 
 base::milliseconds load_exchange::period(const entries::relays& to) {
     const auto count = static_cast<std::int64_t>(to.near.size() + to.far.size());
-    return std::max(period_each * count, least_period);
+    return std::max(period_per_entry * count, min_period);
 }
 
-peering::entry_load load_exchange::own_load(std::size_t linked) {
+peering::entry_load load_exchange::own_load(std::size_t connected_count) {
     const base::instant now = this->context.now();
     peering::entry_load load;
     load.from = this->context.settings.id;
-    load.report_interval = whole_period(linked);
-    load.complete = now >= this->next_whole;
+    load.report_interval = complete_report_period(connected_count);
+    load.complete = now >= this->next_complete_report;
     if (load.complete) {
-        this->next_whole = now + load.report_interval;
+        this->next_complete_report = now + load.report_interval;
     }
-    std::map<base::upstream_id, peering::upstream_load> telling;
-    for (const auto& [id, one] : this->context.state.fleet.members) {
-        const auto before = this->told.find(id);
-        const bool known = before != this->told.end();
-        if (one.local_work.in_flight == 0 && !known) {
+    std::map<base::upstream_id, peering::upstream_load> reported;
+    for (const auto& [id, member] : this->context.state.fleet.members) {
+        const auto before = this->last_reported.find(id);
+        const bool known = before != this->last_reported.end();
+        if (member.local_work.in_flight == 0 && !known) {
             continue;
         }
-        const auto heard = std::chrono::duration_cast<base::milliseconds>(now - one.last_byte_at);
-        const peering::upstream_load item{fleet::instance_of(one), one.local_work, heard};
-        const bool is_news = !known || !same_work(before->second.work, item.work);
-        if (is_news || (load.complete && one.local_work.in_flight > 0)) {
+        const auto last_byte_age =
+            std::chrono::duration_cast<base::milliseconds>(now - member.last_byte_at);
+        const peering::upstream_load item{fleet::instance_of(member), member.local_work,
+                                          last_byte_age};
+        const bool has_changed = !known || !same_work(before->second.work, item.work);
+        if (has_changed || (load.complete && member.local_work.in_flight > 0)) {
             load.items.push_back(item);
         }
-        if (one.local_work.in_flight > 0) {
-            telling[id] = item;
+        if (member.local_work.in_flight > 0) {
+            reported[id] = item;
         }
     }
-    this->told = std::move(telling);
+    this->last_reported = std::move(reported);
     for (const auto& [store, ms] : std::exchange(this->context.state.unreported_transfers, {})) {
         load.transfers.push_back({store, ms});
     }
@@ -78,11 +80,11 @@
     return load;
 }
 
-std::vector<peering::entry_load> load_exchange::relayed_loads() {
+std::vector<peering::entry_load> load_exchange::take_pending_relays() {
     const base::instant now = this->context.now();
     std::vector<peering::entry_load> loads;
-    for (auto& each : std::exchange(this->to_relay, {})) {
-        each.load.age += std::chrono::duration_cast<base::milliseconds>(now - each.heard_at);
+    for (auto& each : std::exchange(this->pending_relays, {})) {
+        each.load.age += std::chrono::duration_cast<base::milliseconds>(now - each.received_at);
         loads.push_back(std::move(each.load));
     }
     return loads;
@@ -97,61 +99,60 @@
     return true;
 }
 
-load_exchange::news load_exchange::collect(std::size_t linked) {
-    news made;
-    auto own = this->own_load(linked);
+load_exchange::reports load_exchange::collect(std::size_t connected_count) {
+    reports result;
+    auto own = this->own_load(connected_count);
     // One last message says that nothing is left.
-    const bool is_there = this->heartbeat_due();
-    const bool says_something =
-        !is_empty(own) || is_there || (own.complete && this->told_something);
+    const bool heartbeat = this->heartbeat_due();
+    const bool has_own_report =
+        !is_empty(own) || heartbeat || (own.complete && this->reported_any_load);
     if (own.complete) {
-        this->told_something = !own.items.empty();
+        this->reported_any_load = !own.items.empty();
     }
-    auto relayed = this->relayed_loads();
-    if (says_something) {
-        made.far = peering::load_report{{own}};
+    auto relayed = this->take_pending_relays();
+    if (has_own_report) {
+        result.far = peering::load_report{{own}};
         relayed.insert(relayed.begin(), std::move(own));
     }
     if (!relayed.empty()) {
-        made.near = peering::load_report{std::move(relayed)};
+        result.near = peering::load_report{std::move(relayed)};
     }
-    return made;
+    return result;
 }
 
-void load_exchange::take(const peering::load_report& message, bool passes_on) {
+void load_exchange::receive(const peering::load_report& message, bool should_relay) {
     for (const auto& load : message.loads) {
-        this->take_load(load);
+        this->apply_load(load);
     }
-    if (passes_on && !message.loads.empty()) {
-        this->to_relay.push_back({message.loads.front(), this->context.now()});
+    if (should_relay && !message.loads.empty()) {
+        this->pending_relays.push_back({message.loads.front(), this->context.now()});
     }
 }
 
-void load_exchange::take_load(const peering::entry_load& load) {
+void load_exchange::apply_load(const peering::entry_load& load) {
     const base::instant now = this->context.now();
-    const base::instant until =
-        now + std::max(load.report_interval * believed_periods, least_belief);
+    const base::instant until = now + std::max(load.report_interval * expiry_periods, min_expiry);
     auto& state = this->context.state;
     quota::take_report(state.quotas, {load.from, load.age, load.uptime, load.usage}, now,
                        quota_rules_of(this->context.settings));
     if (load.complete) {
-        for (auto& [id, one] : state.fleet.members) {
-            one.remote_work.erase(load.from);
+        for (auto& [id, member] : state.fleet.members) {
+            member.remote_work.erase(load.from);
         }
     }
     for (const auto& item : load.items) {
-        auto* one = fleet::find_instance(state.fleet, item.upstream);
-        if (one == nullptr) {
+        auto* member = fleet::find_instance(state.fleet, item.upstream);
+        if (member == nullptr) {
             continue;
         }
         if (item.work.in_flight > 0) {
-            one->remote_work[load.from] = {item.work, until, now - load.age};
+            member->remote_work[load.from] = {item.work, until, now - load.age};
         } else {
-            one->remote_work.erase(load.from);
+            member->remote_work.erase(load.from);
         }
         // With many entries each hears little of an upstream; together they know whether it lives.
-        one->last_byte_at =
-            std::max<base::instant>(one->last_byte_at, now - load.age - item.last_byte_age);
+        member->last_byte_at =
+            std::max<base::instant>(member->last_byte_at, now - load.age - item.last_byte_age);
     }
     for (const auto& each : load.transfers) {
         kvcache::note_transfer(state.stored_prompts[each.store], each.duration_ms, now);
--- a/src/proxy/load_exchange.h
+++ b/src/proxy/load_exchange.h
@@ -26,33 +26,33 @@
     [[nodiscard]] static base::milliseconds period(const entries::relays& to);
     // What the entries of the own zone are to hear now, with what is passed on, and the relays of
     // other zones; nothing where there is no news. `linked`: entries that a link stands to.
-    struct news {
+    struct reports {
         std::optional<peering::load_report> near;
         std::optional<peering::load_report> far;
     };
-    news collect(std::size_t linked);
+    reports collect(std::size_t connected_count);
     // Takes what was heard from an entry. `passes_on`: it is of another zone, and ours relies on
     // this entry to hear of it.
-    void take(const peering::load_report& message, bool passes_on);
+    void receive(const peering::load_report& message, bool should_relay);
 
 private:
-    peering::entry_load own_load(std::size_t linked);
-    std::vector<peering::entry_load> relayed_loads();
-    void take_load(const peering::entry_load& load);
+    peering::entry_load own_load(std::size_t connected_count);
+    std::vector<peering::entry_load> take_pending_relays();
+    void apply_load(const peering::entry_load& load);
     [[nodiscard]] bool heartbeat_due();
 
-    struct relayed {
+    struct pending_relay {
         peering::entry_load load;
-        base::instant heard_at{};
+        base::instant received_at{};
     };
 
     entry_context& context;
     // What was last told of each upstream.
-    std::map<base::upstream_id, peering::upstream_load> told;
-    std::vector<relayed> to_relay;
-    base::instant next_whole{};
+    std::map<base::upstream_id, peering::upstream_load> last_reported;
+    std::vector<pending_relay> pending_relays;
+    base::instant next_complete_report{};
     base::instant next_heartbeat{};
-    bool told_something = false;
+    bool reported_any_load = false;
 };
 
 } // namespace camphorrail::proxy
--- a/src/proxy/load_exchange_tests.cpp
+++ b/src/proxy/load_exchange_tests.cpp
@@ -9,37 +9,37 @@
 
 // Two entries that know the same engine, and what the first tells the second.
 struct exchange_world {
-    tests::proxy_world teller;
-    tests::proxy_world listener;
-    proxy::load_exchange telling{teller.entry()};
-    proxy::load_exchange listening{listener.entry()};
-    static constexpr std::size_t linked = 20;
+    tests::proxy_world sender;
+    tests::proxy_world receiver;
+    proxy::load_exchange sending{sender.entry()};
+    proxy::load_exchange receiving{receiver.entry()};
+    static constexpr std::size_t connected_count = 20;
 
     exchange_world() {
-        for (auto* world : {&this->teller, &this->listener}) {
+        for (auto* world : {&this->sender, &this->receiver}) {
             world->add_engine("engine", [](const auto&) { return tests::engine_script{}; });
         }
     }
 
-    fleet::member& at_teller() { return this->teller.state.fleet.members.at({"engine"}); }
-    fleet::member& at_listener() { return this->listener.state.fleet.members.at({"engine"}); }
+    fleet::member& at_sender() { return this->sender.state.fleet.members.at({"engine"}); }
+    fleet::member& at_receiver() { return this->receiver.state.fleet.members.at({"engine"}); }
 
-    [[nodiscard]] std::int64_t heard_in_flight() {
-        return fleet::total_work(this->at_listener(), this->listener.entry().now()).in_flight;
+    [[nodiscard]] std::int64_t reported_in_flight() {
+        return fleet::total_work(this->at_receiver(), this->receiver.entry().now()).in_flight;
     }
 
     // Gives whether there was news.
-    bool tell(bool passes_on = false) {
-        const auto news = this->telling.collect(linked);
-        if (news.near) {
-            this->listening.take(*news.near, passes_on);
+    bool send_report(bool should_relay = false) {
+        const auto reports = this->sending.collect(connected_count);
+        if (reports.near) {
+            this->receiving.receive(*reports.near, should_relay);
         }
-        return news.near.has_value();
+        return reports.near.has_value();
     }
 
     void wait(base::milliseconds span) {
-        this->teller.move_clock(span);
-        this->listener.move_clock(span);
+        this->sender.move_clock(span);
+        this->receiver.move_clock(span);
     }
 };
 
@@ -47,31 +47,31 @@
 
 TEST_CASE("entries tell each other what they have under way", "[proxy]") {
     exchange_world world;
-    world.at_teller().local_work = {2, 5000, 9000, 0};
-    REQUIRE(world.tell());
-    CHECK(world.heard_in_flight() == 2);
+    world.at_sender().local_work = {2, 5000, 9000, 0};
+    REQUIRE(world.send_report());
+    CHECK(world.reported_in_flight() == 2);
 
     SECTION("and then only what has changed") {
-        CHECK_FALSE(world.tell());
-        world.at_teller().local_work = {1, 0, 4000, 0};
-        REQUIRE(world.tell());
-        CHECK(world.heard_in_flight() == 1);
+        CHECK_FALSE(world.send_report());
+        world.at_sender().local_work = {1, 0, 4000, 0};
+        REQUIRE(world.send_report());
+        CHECK(world.reported_in_flight() == 1);
     }
     SECTION("also that nothing is left") {
-        world.at_teller().local_work = {};
-        REQUIRE(world.tell());
-        CHECK(world.heard_in_flight() == 0);
-        CHECK_FALSE(world.tell());
+        world.at_sender().local_work = {};
+        REQUIRE(world.send_report());
+        CHECK(world.reported_in_flight() == 0);
+        CHECK_FALSE(world.send_report());
     }
     SECTION("and now and then all of it, for those that missed something") {
-        world.at_listener().remote_work.clear();
+        world.at_receiver().remote_work.clear();
         world.wait(base::milliseconds(150));
-        REQUIRE(world.tell());
-        CHECK(world.heard_in_flight() == 2);
+        REQUIRE(world.send_report());
+        CHECK(world.reported_in_flight() == 2);
     }
     SECTION("and are believed for a while only") {
         world.wait(base::seconds(2));
-        CHECK(world.heard_in_flight() == 0);
+        CHECK(world.reported_in_flight() == 0);
     }
 }
 
@@ -79,27 +79,27 @@
 // way goes along, since what waited then may have been read meanwhile.
 TEST_CASE("what entries of other zones say is passed on with its age", "[proxy]") {
     exchange_world world;
-    world.at_teller().local_work = {3, 6000, 9000, 0};
-    REQUIRE(world.tell(true));
+    world.at_sender().local_work = {3, 6000, 9000, 0};
+    REQUIRE(world.send_report(true));
     world.wait(base::milliseconds(120));
-    const auto passed = world.listening.collect(20);
-    REQUIRE(passed.near);
-    CHECK_FALSE(passed.far);
-    REQUIRE(passed.near->loads.size() == 1);
-    CHECK(passed.near->loads.front().items.front().work.in_flight == 3);
-    CHECK(passed.near->loads.front().age >= base::milliseconds(120));
-    CHECK_FALSE(world.listening.collect(20).near);
+    const auto relayed = world.receiving.collect(20);
+    REQUIRE(relayed.near);
+    CHECK_FALSE(relayed.far);
+    REQUIRE(relayed.near->loads.size() == 1);
+    CHECK(relayed.near->loads.front().items.front().work.in_flight == 3);
+    CHECK(relayed.near->loads.front().age >= base::milliseconds(120));
+    CHECK_FALSE(world.receiving.collect(20).near);
 }
 
 // At the peak an engine reads what waits there within a tenth of a second. Counted for as long as
 // it takes to tell again, it drove prompts from the engines that had them cached.
 TEST_CASE("what others said waits is read meanwhile", "[proxy]") {
     exchange_world world;
-    world.at_teller().local_work = {1, 6000, 9000, 0};
-    REQUIRE(world.tell());
+    world.at_sender().local_work = {1, 6000, 9000, 0};
+    REQUIRE(world.send_report());
     constexpr double tokens_a_ms = 100.0;
     const auto unread = [&] {
-        return fleet::estimate_unread_tokens(world.at_listener(), world.listener.entry().now(),
+        return fleet::estimate_unread_tokens(world.at_receiver(), world.receiver.entry().now(),
                                              tokens_a_ms);
     };
     CHECK(unread() > 5000);
@@ -107,7 +107,7 @@
     CHECK(unread() < 3100);
     world.wait(base::milliseconds(40));
     CHECK(unread() == 0);
-    world.at_listener().local_work.unread_tokens = 700;
+    world.at_receiver().local_work.unread_tokens = 700;
     CHECK(unread() == 700);
 }
 
@@ -115,39 +115,39 @@
 // now, and gives out their part of the quotas besides its own.
 TEST_CASE("an entry is heard as of when it told, not of when that is read", "[proxy][quota]") {
     exchange_world world;
-    const auto rules = proxy::quota_rules_of(world.listener.entry().settings);
+    const auto rules = proxy::quota_rules_of(world.receiver.entry().settings);
     routes::team team;
     team.id = {"north"};
     team.quota = {routes::quota_unit::tokens, 1000, 1000, 200};
-    for (auto* each : {&world.teller, &world.listener}) {
+    for (auto* each : {&world.sender, &world.receiver}) {
         each->stop_clock();
         quota::set_limits(each->state.quotas, {team}, each->entry().now(), rules);
     }
-    const auto is_heard = [&] {
-        auto& quotas = world.listener.state.quotas;
-        quota::silence_changes(quotas, world.listener.entry().now(), rules);
+    const auto is_responsive = [&] {
+        auto& quotas = world.receiver.state.quotas;
+        quota::silence_changes(quotas, world.receiver.entry().now(), rules);
         return quotas.heard.size() == 1;
     };
     constexpr base::milliseconds period{150};
     for (base::milliseconds passed{0}; passed < base::seconds(5); passed += period) {
-        world.tell();
+        world.send_report();
         world.wait(period);
     }
-    REQUIRE(is_heard());
+    REQUIRE(is_responsive());
     std::vector<peering::load_report> unread;
     for (base::milliseconds passed{0}; passed < base::seconds(1); passed += period) {
-        unread.push_back(world.telling.collect(exchange_world::linked).near.value());
+        unread.push_back(world.sending.collect(exchange_world::connected_count).near.value());
         world.wait(period);
     }
     world.wait(base::seconds(4));
     for (const auto& each : unread) {
-        world.listening.take(each, false);
+        world.receiving.receive(each, false);
     }
-    CHECK_FALSE(is_heard());
+    CHECK_FALSE(is_responsive());
 
     SECTION("until it tells again") {
-        world.tell();
+        world.send_report();
         world.wait(period);
-        CHECK(is_heard());
+        CHECK(is_responsive());
     }
 }
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -2,7 +2,7 @@
 
 #include "entries/line_up.h"
 #include "proxy/store_follower.h"
-#include "proxy/weights_news.h"
+#include "proxy/target_weights.h"
 
 #include <algorithm>
 #include <vector>
@@ -16,22 +16,22 @@
 // An entry that vanishes leaves the list after this long. Who is there is known by links; the list
 // only says whom to link to, and how many share the retry budget. Renewals cost a tenth of a call:
 // of 100 entries every 2.5 s, four calls a second, as much as following the store takes.
-constexpr std::int64_t lease_seconds = 16;
+constexpr std::int64_t registration_lease_seconds = 16;
 constexpr base::milliseconds renewal_period{5000};
 // After a call for the list that failed.
 constexpr base::milliseconds registration_retry{2500};
-constexpr base::milliseconds connect_pause{700};
+constexpr base::milliseconds connect_retry{700};
 // The entry that proves for all asks others when its own proofs fail: well above their period, well
 // below the age that ends service. The others ask all the time.
-constexpr base::milliseconds ask_after_age_proving{1600};
-constexpr base::milliseconds ask_after_age{600};
-constexpr base::milliseconds ask_period{300};
+constexpr base::milliseconds query_age_when_confirming{1600};
+constexpr base::milliseconds query_age{600};
+constexpr base::milliseconds query_period{300};
 // An entry that answers no ask for this long is cut off too, or its link has fallen silent.
-constexpr base::milliseconds ask_patience{900};
+constexpr base::milliseconds query_timeout{900};
 // A configuration of 350 routes beside a list of 2,000 upstreams is below 1 MB.
 constexpr std::size_t max_message_bytes = 8U << 20U;
 
-ports::changes whole_store(const mirror::store_mirror& store) {
+ports::changes all_changes(const mirror::store_mirror& store) {
     ports::changes all;
     all.revision = store.revision;
     for (const auto& [key, item] : store.items) {
@@ -43,35 +43,36 @@
 ports::snapshot snapshot_of(const ports::changes& all) {
     ports::snapshot read;
     read.revision = all.revision;
-    for (const auto& each : all.items) {
-        read.values.push_back(each.item);
+    for (const auto& change : all.items) {
+        read.values.push_back(change.item);
     }
     return read;
 }
 
 } // namespace
 
-std::vector<peering::upstream_draining> leaving_to_tell(const entry_context& context) {
-    std::vector<peering::upstream_draining> told;
-    for (const auto& [id, one] : context.state.fleet.members) {
-        if (one.drain_reported_at) {
-            told.push_back({fleet::instance_of(one), context.now() - *one.drain_reported_at});
+std::vector<peering::upstream_draining> collect_drain_reports(const entry_context& context) {
+    std::vector<peering::upstream_draining> reports;
+    for (const auto& [id, member] : context.state.fleet.members) {
+        if (member.drain_reported_at) {
+            reports.push_back(
+                {fleet::instance_of(member), context.now() - *member.drain_reported_at});
         }
     }
-    return told;
+    return reports;
 }
 
 peers::peers(entry_context& context, ports::platform platform)
     : context(context), platform(std::move(platform)), started_at(context.now()), loads(context),
-      load_timer(context.loop.base(), [this] { this->tell_load(); }) {}
+      load_timer(context.loop.base(), [this] { this->send_load(); }) {}
 
-std::string peers::list_prefix() const {
+std::string peers::registration_prefix() const {
     return this->context.codec.own_prefix + "entries/";
 }
 
-std::map<base::entry_id, std::string> peers::listed() const {
+std::map<base::entry_id, std::string> peers::registered_entries() const {
     std::map<base::entry_id, std::string> found;
-    const std::string prefix = this->list_prefix();
+    const std::string prefix = this->registration_prefix();
     for (const auto& item : mirror::items_below(this->context.state.store, prefix)) {
         found[{item.key.substr(prefix.size())}] = item.value;
     }
@@ -79,14 +80,14 @@
 }
 
 std::int64_t peers::count() const {
-    const auto all = this->listed();
+    const auto all = this->registered_entries();
     const bool listed_self = all.count(this->context.settings.id) > 0;
     return static_cast<std::int64_t>(all.size()) + (listed_self ? 0 : 1);
 }
 
 quota::listed_entries peers::listed_entries() const {
     quota::listed_entries found;
-    for (const auto& [id, address] : this->listed()) {
+    for (const auto& [id, address] : this->registered_entries()) {
         if (id == this->context.settings.id) {
             found.self = true;
         } else {
@@ -96,11 +97,11 @@
     return found;
 }
 
-std::vector<base::entry_id> peers::linked() const {
+std::vector<base::entry_id> peers::connected_entries() const {
     std::vector<base::entry_id> found;
-    for (const auto& [key, each] : this->links) {
-        if (each.open && !each.id.empty()) {
-            found.push_back(each.id);
+    for (const auto& [key, peer] : this->links) {
+        if (peer.open && !peer.id.empty()) {
+            found.push_back(peer.id);
         }
     }
     return found;
@@ -109,8 +110,8 @@
 bool peers::listen() {
     this->listener = adapters::listen_for_links(
         this->context.loop.base(), this->context.settings.peer_listen, {max_message_bytes},
-        [this](const adapters::link_ptr& link) { this->add(link, {}); });
-    this->tell_load();
+        [this](const adapters::link_ptr& link) { this->add_link(link, {}); });
+    this->send_load();
     return this->listener != nullptr;
 }
 
@@ -119,14 +120,15 @@
     if (!this->context.state.stopping && !this->registering && now >= this->next_registration) {
         this->register_self();
     }
-    this->connect_to_new();
+    this->connect_to_new_entries();
     const auto age = mirror::age(this->context.state.store, now);
-    const auto longest = this->proves_store() ? ask_after_age_proving : ask_after_age;
-    const bool wants_proof = !age || *age > longest;
-    const bool wants_answer = wants_proof || this->ask_wanted || wants_weights_dates(this->context);
-    if (now >= this->next_ask && !this->awaits_store() && wants_answer) {
-        this->ask_wanted = false;
-        this->ask_for_store();
+    const auto max_age = this->confirms_store() ? query_age_when_confirming : query_age;
+    const bool needs_confirmation = !age || *age > max_age;
+    const bool needs_query =
+        needs_confirmation || this->query_wanted || needs_target_dates(this->context);
+    if (now >= this->next_query && !this->is_reading_store() && needs_query) {
+        this->query_wanted = false;
+        this->query_store();
     }
     if (const auto entries = this->count(); entries != this->last_count) {
         this->last_count = entries;
@@ -136,20 +138,20 @@
 }
 
 void peers::register_self() {
-    const std::string key = this->list_prefix() + this->context.settings.id.value;
+    const std::string key = this->registration_prefix() + this->context.settings.id.value;
     const auto& items = this->context.state.store.items;
     const auto found = items.find(key);
-    const bool there =
+    const bool registered =
         found != items.end() && found->second.value == this->context.settings.peer_listen;
     this->registering = true;
-    if (this->lease != 0 && there) {
-        this->renew_place();
+    if (this->lease != 0 && registered) {
+        this->renew_registration();
     } else {
-        this->take_place(key);
+        this->create_registration(key);
     }
 }
 
-void peers::renew_place() {
+void peers::renew_registration() {
     this->next_registration = this->context.now() + renewal_period;
     this->platform.renew_lease(this->lease, [this](base::result<bool> kept) {
         this->registering = false;
@@ -160,171 +162,173 @@
     });
 }
 
-void peers::take_place(const std::string& key) {
+void peers::create_registration(const std::string& key) {
     this->next_registration = this->context.now() + registration_retry;
-    this->platform.grant_lease(lease_seconds, [this, key](base::result<std::int64_t> granted) {
-        this->registering = false;
-        if (!granted.has_value()) {
-            return;
-        }
-        this->lease = granted.value();
-        ports::transaction change;
-        change.writes = {{key, this->context.settings.peer_listen, false, this->lease}};
-        this->platform.commit(change, [this](base::result<ports::commit_result> done) {
-            const bool fine = done.has_value() && done.value().applied;
-            this->context.log.line(importance::keep, "entry_listed").flag("done", fine);
+    this->platform.grant_lease(
+        registration_lease_seconds, [this, key](base::result<std::int64_t> granted) {
+            this->registering = false;
+            if (!granted.has_value()) {
+                return;
+            }
+            this->lease = granted.value();
+            ports::transaction change;
+            change.writes = {{key, this->context.settings.peer_listen, false, this->lease}};
+            this->platform.commit(change, [this](base::result<ports::commit_result> done) {
+                const bool succeeded = done.has_value() && done.value().applied;
+                this->context.log.line(importance::keep, "entry_listed").flag("done", succeeded);
+            });
         });
-    });
 }
 
-void peers::connect_to_new() {
+void peers::connect_to_new_entries() {
     const base::instant now = this->context.now();
-    std::set<base::entry_id> linked;
-    for (const auto& [key, each] : this->links) {
-        linked.insert(each.id);
+    std::set<base::entry_id> connected;
+    for (const auto& [key, peer] : this->links) {
+        connected.insert(peer.id);
     }
-    for (const auto& [id, address] : this->listed()) {
+    for (const auto& [id, address] : this->registered_entries()) {
         // One link a pair: the entry with the lower name connects.
-        if (!(this->context.settings.id < id) || linked.count(id) > 0 || now < this->next_try[id]) {
+        if (!(this->context.settings.id < id) || connected.count(id) > 0 ||
+            now < this->next_connect_at[id]) {
             continue;
         }
-        this->next_try[id] = now + connect_pause;
+        this->next_connect_at[id] = now + connect_retry;
         const auto link =
             adapters::connect_link(this->context.loop.base(), address, {max_message_bytes});
-        this->add(link, id);
+        this->add_link(link, id);
     }
 }
 
-void peers::greet(peer_link& to) {
-    to.open = true;
-    to.link->send(
-        this->frame_of(peering::handshake{this->context.settings.id, this->context.settings.zone,
-                                          this->started_at.time_since_epoch().count()}));
-    for (const auto& message : this->greeting()) {
-        to.link->send(this->frame_of(message));
+void peers::send_handshake(peer_link& peer) {
+    peer.open = true;
+    peer.link->send(this->encode_frame(
+        peering::handshake{this->context.settings.id, this->context.settings.zone,
+                           this->started_at.time_since_epoch().count()}));
+    for (const auto& message : this->initial_messages()) {
+        peer.link->send(this->encode_frame(message));
     }
 }
 
-void peers::add(const adapters::link_ptr& link, base::entry_id id) {
-    const link_key key = ++this->last_link;
+void peers::add_link(const adapters::link_ptr& link, base::entry_id id) {
+    const link_key key = ++this->last_link_key;
     this->links[key] = {link, std::move(id), {}, std::make_shared<base::sender_clock>(), false, 0,
                         {}};
     // What is sent before a link stands is lost.
     link->opened.connect([this, key] {
         const auto found = this->links.find(key);
         if (found != this->links.end()) {
-            this->greet(found->second);
+            this->send_handshake(found->second);
         }
     });
-    link->received.connect([this, key](std::string_view bytes) { this->received(key, bytes); });
-    link->closed.connect([this, key] { this->drop(key); });
+    link->received.connect([this, key](std::string_view bytes) { this->on_received(key, bytes); });
+    link->closed.connect([this, key] { this->drop_link(key); });
 }
 
-void peers::drop(link_key key) {
+void peers::drop_link(link_key key) {
     const auto found = this->links.find(key);
     if (found == this->links.end()) {
         return;
     }
-    const auto held = std::move(found->second);
+    const auto dropped = std::move(found->second);
     this->links.erase(found);
     this->context.log.line(importance::keep, "entry_link_lost")
-        .text("entry", held.id.value)
-        .flag("stood", held.open);
+        .text("entry", dropped.id.value)
+        .flag("stood", dropped.open);
     // The link may be telling us this itself.
-    this->context.loop.after(base::micros(0), [link = held.link] { link->close(); });
+    this->context.loop.after(base::micros(0), [link = dropped.link] { link->close(); });
 }
 
-std::string peers::frame_of(const peering::message& message) const {
+std::string peers::encode_frame(const peering::message& message) const {
     return peering::encode({message, this->context.now() - this->started_at});
 }
 
-void peers::tell(const peering::message& message) {
-    const std::string bytes = this->frame_of(message);
-    for (const auto& [key, each] : this->links) {
-        if (each.open) {
-            each.link->send(bytes);
+void peers::broadcast(const peering::message& message) {
+    const std::string bytes = this->encode_frame(message);
+    for (const auto& [key, peer] : this->links) {
+        if (peer.open) {
+            peer.link->send(bytes);
         }
     }
 }
 
-void peers::tell_load() {
-    std::vector<entries::linked_entry> linked;
-    for (const auto& [key, each] : this->links) {
-        if (each.open && !each.id.empty()) {
-            linked.push_back({each.id, each.zone});
+void peers::send_load() {
+    std::vector<entries::linked_entry> connected;
+    for (const auto& [key, peer] : this->links) {
+        if (peer.open && !peer.id.empty()) {
+            connected.push_back({peer.id, peer.zone});
         }
     }
     const auto& settings = this->context.settings;
     const auto relays =
-        entries::choose_relays(linked, settings.id, settings.zone, this->context.now());
+        entries::choose_relays(connected, settings.id, settings.zone, this->context.now());
     this->load_timer.set(load_exchange::period(relays));
-    const auto news = this->loads.collect(linked.size());
-    if (news.near) {
-        this->tell_to(relays.near, this->frame_of(*news.near));
+    const auto reports = this->loads.collect(connected.size());
+    if (reports.near) {
+        this->send_to(relays.near, this->encode_frame(*reports.near));
     }
-    if (news.far) {
-        this->tell_to(relays.far, this->frame_of(*news.far));
+    if (reports.far) {
+        this->send_to(relays.far, this->encode_frame(*reports.far));
     }
 }
 
-void peers::tell_to(const std::vector<base::entry_id>& entries, const std::string& bytes) {
+void peers::send_to(const std::vector<base::entry_id>& entries, const std::string& bytes) {
     const std::set<base::entry_id> wanted(entries.begin(), entries.end());
-    for (const auto& [key, each] : this->links) {
-        if (each.open && wanted.count(each.id) > 0) {
-            each.link->send(bytes);
+    for (const auto& [key, peer] : this->links) {
+        if (peer.open && wanted.count(peer.id) > 0) {
+            peer.link->send(bytes);
         }
     }
 }
 
 // Asks the entry ahead in line, and another one by turns for where that one knows nothing new.
-void peers::ask_for_store() {
-    this->next_ask = this->context.now() + ask_period;
-    this->drop_silent();
-    const auto ahead =
-        entries::ahead_in_line(this->linked(), this->context.settings.id, store_duty_name);
+void peers::query_store() {
+    this->next_query = this->context.now() + query_period;
+    this->drop_unresponsive();
+    const auto ahead = entries::ahead_in_line(this->connected_entries(), this->context.settings.id,
+                                              store_duty_name);
     if (ahead) {
-        const auto found = std::find_if(this->links.begin(), this->links.end(), [&](auto& each) {
-            return each.second.open && each.second.id == *ahead;
+        const auto found = std::find_if(this->links.begin(), this->links.end(), [&](auto& peer) {
+            return peer.second.open && peer.second.id == *ahead;
         });
-        if (found != this->links.end() && found->second.asked == 0) {
-            this->ask(found->second);
+        if (found != this->links.end() && found->second.query_id == 0) {
+            this->send_query(found->second);
         }
     }
     // Once through all links, from the one after the last that was asked.
-    auto next = this->links.upper_bound(this->last_asked);
+    auto next = this->links.upper_bound(this->last_queried);
     for (std::size_t seen = 0; seen < this->links.size(); ++seen) {
         next = next == this->links.end() ? this->links.begin() : next;
-        auto& [key, each] = *next;
+        auto& [key, peer] = *next;
         ++next;
-        if (each.open && each.asked == 0) {
-            this->last_asked = key;
-            this->ask(each);
+        if (peer.open && peer.query_id == 0) {
+            this->last_queried = key;
+            this->send_query(peer);
             return;
         }
     }
 }
 
-void peers::ask(peer_link& of) {
-    of.asked = ++this->last_ask;
-    of.asked_at = this->context.now();
-    of.link->send(
-        this->frame_of(peering::store_query{of.asked, this->context.state.store.revision}));
+void peers::send_query(peer_link& peer) {
+    peer.query_id = ++this->last_query_id;
+    peer.queried_at = this->context.now();
+    peer.link->send(this->encode_frame(
+        peering::store_query{peer.query_id, this->context.state.store.revision}));
 }
 
-void peers::drop_silent() {
+void peers::drop_unresponsive() {
     const base::instant now = this->context.now();
     std::vector<link_key> silent;
-    for (const auto& [key, each] : this->links) {
-        if (each.open && each.asked != 0 && now - each.asked_at > ask_patience) {
+    for (const auto& [key, peer] : this->links) {
+        if (peer.open && peer.query_id != 0 && now - peer.queried_at > query_timeout) {
             silent.push_back(key);
         }
     }
     for (const link_key key : silent) {
-        this->drop(key);
+        this->drop_link(key);
     }
 }
 
-void peers::received(link_key key, std::string_view bytes) {
+void peers::on_received(link_key key, std::string_view bytes) {
     // A link that was given up still reads what had come by then.
     if (this->links.count(key) == 0) {
         return;
@@ -332,44 +336,44 @@
     const auto frame = peering::decode(bytes);
     if (!frame.has_value()) {
         this->context.log.line(importance::keep, "entry_message_unreadable");
-        this->drop(key);
+        this->drop_link(key);
         return;
     }
-    const auto& [told, uptime] = frame.value();
+    const auto& [payload, uptime] = frame.value();
     auto& from = this->links.at(key);
-    if (const auto* first = std::get_if<peering::handshake>(&told)) {
-        this->meet(from, *first);
+    if (const auto* handshake = std::get_if<peering::handshake>(&payload)) {
+        this->identify_peer(from, *handshake);
     }
     const base::instant written = base::estimate_sent_at(*from.clock, uptime, this->context.now());
-    std::visit([&](const auto& each) { this->take(key, each, written); }, told);
+    std::visit([&](const auto& message) { this->handle(key, message, written); }, payload);
 }
 
-void peers::meet(peer_link& other, const peering::handshake& message) {
-    auto& known = this->tellers[message.from];
-    if (known.clock == nullptr || known.life != message.incarnation) {
+void peers::identify_peer(peer_link& peer, const peering::handshake& message) {
+    auto& known = this->known_senders[message.from];
+    if (known.clock == nullptr || known.incarnation != message.incarnation) {
         known = {message.incarnation, std::make_shared<base::sender_clock>()};
     }
-    other.clock = known.clock;
-    other.id = message.from;
-    other.zone = message.zone;
+    peer.clock = known.clock;
+    peer.id = message.from;
+    peer.zone = message.zone;
 }
 
-void peers::take(link_key /*key*/, const peering::handshake& message, base::instant /*written*/) {
+void peers::handle(link_key /*key*/, const peering::handshake& message, base::instant /*written*/) {
     this->context.log.line(importance::keep, "entry_link_stands").text("entry", message.from.value);
 }
 
-void peers::take(link_key key, const peering::suspicion& message, base::instant written) {
+void peers::handle(link_key key, const peering::suspicion& message, base::instant written) {
     auto* found = fleet::find_instance(this->context.state.fleet, message.upstream);
     if (found == nullptr) {
         return;
     }
-    auto& one = *found;
+    auto& member = *found;
     const base::instant until = written + message.duration;
     if (message.changing_weights) {
-        one.busy_until = std::max<base::instant>(one.busy_until, until);
-        one.weights_change_until = std::max<base::instant>(one.weights_change_until, until);
+        member.busy_until = std::max<base::instant>(member.busy_until, until);
+        member.weights_change_until = std::max<base::instant>(member.weights_change_until, until);
     } else {
-        one.suspected_until = std::max<base::instant>(one.suspected_until, until);
+        member.suspected_until = std::max<base::instant>(member.suspected_until, until);
     }
     this->context.log.line(importance::keep, "upstream_suspected_by_entry")
         .text("upstream", message.upstream.id.value)
@@ -378,47 +382,47 @@
         .number("for_ms", message.duration.count());
 }
 
-void peers::take(link_key /*key*/, const peering::loaded_weights& message,
-                 base::instant /*written*/) {
+void peers::handle(link_key /*key*/, const peering::loaded_weights& message,
+                   base::instant /*written*/) {
     this->weights_changed(message);
 }
 
-void peers::take(link_key key, const peering::load_report& message, base::instant /*written*/) {
+void peers::handle(link_key key, const peering::load_report& message, base::instant /*written*/) {
     const auto& from = this->links.at(key);
     const bool is_far = !from.zone.empty() && from.zone != this->context.settings.zone;
-    this->loads.take(message, is_far);
+    this->loads.receive(message, is_far);
 }
 
-void peers::take(link_key key, const peering::kv_store_contents& message,
-                 base::instant /*written*/) {
-    this->kept_told(this->links.at(key).id, message);
+void peers::handle(link_key key, const peering::kv_store_contents& message,
+                   base::instant /*written*/) {
+    this->kv_store_contents_received(this->links.at(key).id, message);
 }
 
-void peers::take(link_key key, const peering::crash_report& message, base::instant written) {
-    this->crash_told(this->links.at(key).id, message, written);
+void peers::handle(link_key key, const peering::crash_report& message, base::instant written) {
+    this->crash_report_received(this->links.at(key).id, message, written);
 }
 
-void peers::take(link_key key, const peering::quarantine_notice& message, base::instant written) {
-    this->hold_told(this->links.at(key).id, message, written);
+void peers::handle(link_key key, const peering::quarantine_notice& message, base::instant written) {
+    this->quarantine_notice_received(this->links.at(key).id, message, written);
 }
 
-void peers::take(link_key key, const peering::upstream_draining& message, base::instant written) {
+void peers::handle(link_key key, const peering::upstream_draining& message, base::instant written) {
     record_drain_report(this->context, message.upstream, this->links.at(key).id.value,
                         written - message.age);
 }
 
-void peers::take(link_key key, const peering::store_changes& message, base::instant /*written*/) {
-    if (this->store_told(message)) {
+void peers::handle(link_key key, const peering::store_changes& message, base::instant /*written*/) {
+    if (this->store_changes_received(message)) {
         return;
     }
     // Something before it was missed; whoever tells of it knows all.
     auto& from = this->links.at(key);
-    if (from.asked == 0) {
-        this->ask(from);
+    if (from.query_id == 0) {
+        this->send_query(from);
     }
 }
 
-void peers::take(link_key key, const peering::store_query& message, base::instant /*written*/) {
+void peers::handle(link_key key, const peering::store_query& message, base::instant /*written*/) {
     const auto& store = this->context.state.store;
     peering::store_view view;
     view.query_id = message.query_id;
@@ -431,29 +435,29 @@
     }
     auto since = mirror::changes_since(store, message.revision);
     view.complete = !since;
-    view.changes = since ? std::move(*since) : whole_store(store);
-    view.targets = named_weights_to_tell(this->context);
-    this->links.at(key).link->send(this->frame_of(view));
+    view.changes = since ? std::move(*since) : all_changes(store);
+    view.targets = target_weights_to_report(this->context);
+    this->links.at(key).link->send(this->encode_frame(view));
 }
 
-void peers::take(link_key key, const peering::store_view& message, base::instant /*written*/) {
-    auto& asked = this->links.at(key);
-    if (message.query_id != asked.asked) {
+void peers::handle(link_key key, const peering::store_view& message, base::instant /*written*/) {
+    auto& peer = this->links.at(key);
+    if (message.query_id != peer.query_id) {
         return;
     }
-    asked.asked = 0;
-    const auto from = asked.id;
-    const auto asked_at = asked.asked_at;
+    peer.query_id = 0;
+    const auto from = peer.id;
+    const auto queried_at = peer.queried_at;
     if (message.confirmed) {
-        this->take_store(asked, message);
+        this->apply_store_view(peer, message);
     }
-    this->named_weights_told(from, message.targets, asked_at);
+    this->target_weights_received(from, message.targets, queried_at);
 }
 
-void peers::take_store(const peer_link& asked, const peering::store_view& view) {
+void peers::apply_store_view(const peer_link& peer, const peering::store_view& view) {
     auto& store = this->context.state.store;
     // The other end's proof was that old when it answered, so at least that old when we asked.
-    const base::instant proved = asked.asked_at - view.age;
+    const base::instant proved = peer.queried_at - view.age;
     const auto before = mirror::age(store, this->context.now());
     std::set<std::string> changed;
     if (view.complete) {
@@ -463,10 +467,10 @@
         mirror::prove(store, proved);
     }
     if (view.complete_age) {
-        mirror::note_revision(store, view.changes.revision, asked.asked_at - *view.complete_age);
+        mirror::note_revision(store, view.changes.revision, peer.queried_at - *view.complete_age);
     }
     this->context.log.line(importance::keep, "store_view_from_entry")
-        .text("entry", asked.id.value)
+        .text("entry", peer.id.value)
         .number("revision", view.changes.revision)
         .span("age_ms", view.age)
         .span("our_age_ms", before.value_or(base::micros(-1)))
@@ -476,12 +480,12 @@
     }
 }
 
-void peers::resign() {
+void peers::deregister() {
     if (this->lease == 0) {
         return;
     }
     ports::transaction change;
-    change.writes = {{this->list_prefix() + this->context.settings.id.value, "", true, 0}};
+    change.writes = {{this->registration_prefix() + this->context.settings.id.value, "", true, 0}};
     this->platform.commit(change, [](const base::result<ports::commit_result>& /*done*/) {
         // If it fails, the lease ends by itself.
     });
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -1,7 +1,7 @@
 #include "own_address.h"
 #include "proxy/peers.h"
+#include "proxy/target_weights.h"
 #include "proxy/upstream_choice.h"
-#include "proxy/weights_news.h"
 #include "proxy_world.h"
 
 #include <catch2/catch.hpp>
@@ -11,10 +11,10 @@
 namespace {
 
 const std::string other_address = tests::own_address(18993);
-constexpr std::size_t most_bytes = 1U << 20U;
+constexpr std::size_t max_message_bytes = 1U << 20U;
 
 // A store that answers nothing.
-ports::platform silent_store() {
+ports::platform unresponsive_store() {
     ports::platform store;
     store.commit = [](const ports::transaction&, auto) {};
     store.grant_lease = [](std::int64_t, auto) {};
@@ -23,44 +23,44 @@
 }
 
 // An entry and one that it links itself to, which the test plays.
-struct linked_world {
+struct peer_world {
     tests::proxy_world world;
     proxy::peers others;
-    std::vector<peering::message> heard;
+    std::vector<peering::message> received_messages;
     adapters::link_ptr other;
     std::unique_ptr<adapters::link_listener> listener;
     base::instant other_started;
 
-    linked_world()
-        : others(this->world.entry(), silent_store()),
+    peer_world()
+        : others(this->world.entry(), unresponsive_store()),
           other_started(this->world.entry().now() - base::seconds(3)) {
         this->world.prove_config();
         this->others.count_changed = [] {};
-        this->others.proves_store = [] { return true; };
-        this->others.awaits_store = [] { return false; };
-        this->others.greeting = [] { return std::vector<peering::message>{}; };
-        this->others.named_weights_told = [this](const auto& from, const auto& told,
-                                                 base::instant asked_at) {
-            proxy::take_told_weights(this->world.entry(), from, told, asked_at);
+        this->others.confirms_store = [] { return true; };
+        this->others.is_reading_store = [] { return false; };
+        this->others.initial_messages = [] { return std::vector<peering::message>{}; };
+        this->others.target_weights_received = [this](const auto& from, const auto& reports,
+                                                      base::instant asked_at) {
+            proxy::apply_reported_targets(this->world.entry(), from, reports, asked_at);
         };
         const std::string key = this->world.entry().codec.own_prefix + "entries/zz";
         this->world.state.store.items[key] = {key, other_address, 1};
         this->listener = adapters::listen_for_links(
-            this->world.entry().loop.base(), other_address, {most_bytes},
+            this->world.entry().loop.base(), other_address, {max_message_bytes},
             [this](const adapters::link_ptr& made) {
                 this->other = made;
                 made->received.connect([this](std::string_view bytes) {
-                    this->heard.push_back(peering::decode(bytes).value().payload);
+                    this->received_messages.push_back(peering::decode(bytes).value().payload);
                 });
             });
     }
 
     // The other entry tells something now, or had written it when it had been running that long.
-    void send(peering::message told) {
-        this->send(std::move(told), this->world.entry().now() - this->other_started);
+    void send(peering::message payload) {
+        this->send(std::move(payload), this->world.entry().now() - this->other_started);
     }
-    void send(peering::message told, base::micros uptime) {
-        this->other->send(peering::encode({std::move(told), uptime}));
+    void send(peering::message payload, base::micros uptime) {
+        this->other->send(peering::encode({std::move(payload), uptime}));
     }
 
     // Lets time pass until a condition holds.
@@ -79,77 +79,78 @@
 // other end has sent since is still read together with it. Taken for a link that stands, it ended
 // the process, and all callers of a hundred entries were cut off.
 TEST_CASE("what comes on a link that was given up is left", "[proxy]") {
-    linked_world linked;
-    REQUIRE(linked.tick_until([&] { return !linked.heard.empty(); }));
-    linked.other->send("no message");
-    linked.send(peering::load_report{});
-    REQUIRE(linked.tick_until([&] { return linked.others.linked().empty(); }));
+    peer_world peer;
+    REQUIRE(peer.tick_until([&] { return !peer.received_messages.empty(); }));
+    peer.other->send("no message");
+    peer.send(peering::load_report{});
+    REQUIRE(peer.tick_until([&] { return peer.others.connected_entries().empty(); }));
     // It links itself anew.
-    CHECK(linked.tick_until([&] { return linked.heard.size() >= 2; }));
+    CHECK(peer.tick_until([&] { return peer.received_messages.size() >= 2; }));
 }
 
 // An entry that has just started is linked to by some and links itself to others. Half of what it
 // was to be told at first, as what the stores of kept copies hold, was said before the link stood,
 // and so never sent: it went on for minutes with a fraction of what others know.
 TEST_CASE("both ends of a new link are greeted", "[proxy]") {
-    linked_world linked;
-    linked.others.greeting = [] {
+    peer_world peer;
+    peer.others.initial_messages = [] {
         return std::vector<peering::message>{
             peering::kv_store_contents{"10.9.9.9:1", true, false, {}}};
     };
-    REQUIRE(linked.others.listen());
-    std::vector<peering::message> told;
-    auto newcomer = adapters::connect_link(linked.world.entry().loop.base(),
-                                           linked.world.entry().settings.peer_listen, {most_bytes});
+    REQUIRE(peer.others.listen());
+    std::vector<peering::message> reports;
+    auto newcomer =
+        adapters::connect_link(peer.world.entry().loop.base(),
+                               peer.world.entry().settings.peer_listen, {max_message_bytes});
     newcomer->received.connect(
-        [&](std::string_view bytes) { told.push_back(peering::decode(bytes).value().payload); });
-    const auto greeted = [](const std::vector<peering::message>& got) {
+        [&](std::string_view bytes) { reports.push_back(peering::decode(bytes).value().payload); });
+    const auto got_initial_messages = [](const std::vector<peering::message>& got) {
         return got.size() >= 2 && std::holds_alternative<peering::handshake>(got.front());
     };
-    CHECK(linked.tick_until([&] { return greeted(linked.heard); }));
-    CHECK(linked.tick_until([&] { return greeted(told); }));
+    CHECK(peer.tick_until([&] { return got_initial_messages(peer.received_messages); }));
+    CHECK(peer.tick_until([&] { return got_initial_messages(reports); }));
 }
 
 // What one entry sees of an upstream may be the fault of its own network, so the others try the
 // rest first, and still send there rather than refuse. One that changes weights takes nothing.
 TEST_CASE("another entry's suspicion holds nothing up where no other upstream is left", "[proxy]") {
-    linked_world linked;
-    linked.world.add_engine("service", [](const auto&) { return tests::engine_script{}; });
-    REQUIRE(linked.tick_until([&] { return linked.other && !linked.heard.empty(); }));
-    const auto& members = linked.world.state.fleet.members;
+    peer_world peer;
+    peer.world.add_engine("service", [](const auto&) { return tests::engine_script{}; });
+    REQUIRE(peer.tick_until([&] { return peer.other && !peer.received_messages.empty(); }));
+    const auto& members = peer.world.state.fleet.members;
     const auto& service = members.at({"service"});
-    const auto now = [&] { return linked.world.entry().now(); };
+    const auto now = [&] { return peer.world.entry().now(); };
     const auto send = [&](bool changing) {
-        linked.send(peering::suspicion{{{"service"}, {}},
-                                       base::milliseconds(60000),
-                                       changing ? "loading" : "unreachable",
-                                       changing});
+        peer.send(peering::suspicion{{{"service"}, {}},
+                                     base::milliseconds(60000),
+                                     changing ? "loading" : "unreachable",
+                                     changing});
     };
     send(false);
-    REQUIRE(linked.tick_until([&] { return fleet::is_suspected(service, now()); }));
-    CHECK(proxy::count_pool(linked.world.entry(), service.listed.pool).suspected == 1);
-    CHECK(proxy::choose_upstream(linked.world.entry(), {.pool = service.listed.pool}));
+    REQUIRE(peer.tick_until([&] { return fleet::is_suspected(service, now()); }));
+    CHECK(proxy::count_pool(peer.world.entry(), service.listed.pool).suspected == 1);
+    CHECK(proxy::choose_upstream(peer.world.entry(), {.pool = service.listed.pool}));
     send(true);
-    REQUIRE(linked.tick_until([&] { return service.busy_until > now(); }));
-    CHECK_FALSE(proxy::choose_upstream(linked.world.entry(), {.pool = service.listed.pool}));
+    REQUIRE(peer.tick_until([&] { return service.busy_until > now(); }));
+    CHECK_FALSE(proxy::choose_upstream(peer.world.entry(), {.pool = service.listed.pool}));
 }
 
 // An entry that has not yet heard of an engine's new start goes on telling of the life before: what
 // it has under way there, what it caches, that it fails. None of that may be believed of the new
 // life, or callers would be kept from an engine that is idle, and prompts fetched that it has lost.
 TEST_CASE("what other entries say of an upstream's earlier life is left", "[proxy]") {
-    linked_world linked;
-    linked.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
-    auto& engine = linked.world.state.fleet.members.at({"engine"});
+    peer_world peer;
+    peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
+    auto& engine = peer.world.state.fleet.members.at({"engine"});
     engine.listed.incarnation = {200};
-    linked.world.config.pools.at({"pool"}).engine_tokens = 100000;
-    linked.world.prove_config();
-    REQUIRE(linked.tick_until([&] { return linked.other && !linked.heard.empty(); }));
+    peer.world.config.pools.at({"pool"}).engine_tokens = 100000;
+    peer.world.prove_config();
+    REQUIRE(peer.tick_until([&] { return peer.other && !peer.received_messages.empty(); }));
     constexpr std::uint64_t prompt = 9;
     constexpr std::int64_t weights = 1;
-    const auto tell = [&](std::int64_t incarnation) {
+    const auto report = [&](std::int64_t incarnation) {
         const base::upstream_instance of{{"engine"}, {incarnation}};
-        linked.send(peering::suspicion{of, base::milliseconds(60000), "unreachable", false});
+        peer.send(peering::suspicion{of, base::milliseconds(60000), "unreachable", false});
         peering::entry_load load;
         load.from = {"zz"};
         load.report_interval = base::milliseconds(60000);
@@ -159,23 +160,25 @@
         read.weights = weights;
         read.by = of;
         load.reads = {read};
-        linked.send(peering::load_report{{load}});
-        linked.send(peering::kv_store_contents{std::to_string(incarnation)});
+        peer.send(peering::load_report{{load}});
+        peer.send(peering::kv_store_contents{std::to_string(incarnation)});
+    };
+    std::string last_reported_store;
+    peer.others.kv_store_contents_received = [&](const auto&, const auto& contents) {
+        last_reported_store = contents.store;
     };
-    std::string last_told;
-    linked.others.kept_told = [&](const auto&, const auto& told) { last_told = told.store; };
     const auto readings = [&] {
-        return kvcache::readings_of(linked.world.state.cache, kvcache::key_at(prompt, weights))
+        return kvcache::readings_of(peer.world.state.cache, kvcache::key_at(prompt, weights))
             .size();
     };
-    tell(100);
-    REQUIRE(linked.tick_until([&] { return last_told == "100"; }));
-    const auto now = linked.world.entry().now();
+    report(100);
+    REQUIRE(peer.tick_until([&] { return last_reported_store == "100"; }));
+    const auto now = peer.world.entry().now();
     CHECK(fleet::is_eligible(engine, now));
     CHECK(fleet::total_work(engine, now).in_flight == 0);
     CHECK(readings() == 0);
-    tell(200);
-    REQUIRE(linked.tick_until([&] { return last_told == "200"; }));
+    report(200);
+    REQUIRE(peer.tick_until([&] { return last_reported_store == "200"; }));
     CHECK(fleet::is_suspected(engine, now));
     CHECK(fleet::total_work(engine, now).in_flight == 2);
     CHECK(readings() == 1);
@@ -188,46 +191,48 @@
 constexpr base::milliseconds sent_before{100};
 
 // An entry that links itself to one that then tells of crashes. The clock stands.
-struct crash_world : linked_world {
-    int told = 0;
+struct crash_world : peer_world {
+    int reports_received = 0;
 
     crash_world() {
         this->world.stop_clock();
-        this->others.crash_told = [this](const auto& from, const auto& report,
-                                         base::instant written) {
-            this->world.crash_watch().take(from, report, written);
-            ++this->told;
+        this->others.crash_report_received = [this](const auto& from, const auto& report,
+                                                    base::instant written) {
+            this->world.crash_detector().receive(from, report, written);
+            ++this->reports_received;
         };
-        this->others.hold_told = [this](const auto& from, const auto& report,
-                                        base::instant written) {
-            this->world.crash_watch().take(from, report, written);
-            ++this->told;
+        this->others.quarantine_notice_received = [this](const auto& from, const auto& report,
+                                                         base::instant written) {
+            this->world.crash_detector().receive(from, report, written);
+            ++this->reports_received;
         };
-        REQUIRE(this->tick_until([this] { return this->other && !this->heard.empty(); }));
-        this->greet(1);
+        REQUIRE(
+            this->tick_until([this] { return this->other && !this->received_messages.empty(); }));
+        this->send_handshake(1);
     }
 
-    void greet(std::int64_t life) {
-        this->send(peering::handshake{{"zz"}, {"a"}, life});
+    void send_handshake(std::int64_t incarnation) {
+        this->send(peering::handshake{{"zz"}, {"a"}, incarnation});
         REQUIRE(this->world.run_until([this] {
-            const auto linked = this->others.linked();
-            return !linked.empty() && this->reads_all();
+            const auto peer = this->others.connected_entries();
+            return !peer.empty() && this->all_messages_read();
         }));
     }
 
     // Whether what was sent has been read, by an answer to a question behind it.
-    bool reads_all() {
-        const auto before = this->heard.size();
+    bool all_messages_read() {
+        const auto before = this->received_messages.size();
         this->send(peering::store_query{1, 0});
-        return this->world.run_until([this, before] { return this->heard.size() > before; });
+        return this->world.run_until(
+            [this, before] { return this->received_messages.size() > before; });
     }
 
     // Something written now is read that much later.
-    void tell_late(const peering::message& message, base::micros late) {
+    void send_delayed(const peering::message& message, base::micros delay) {
         const base::micros uptime = this->world.entry().now() - this->other_started;
-        this->world.move_clock(late);
+        this->world.move_clock(delay);
         this->send(message, uptime);
-        REQUIRE(this->reads_all());
+        REQUIRE(this->all_messages_read());
     }
 
     // A request is lost with an engine now.
@@ -238,18 +243,19 @@
         return {of, now, {{request, now - sent_before, {}}}};
     }
 
-    void lose_here(const base::upstream_instance& of, const std::string& body) {
+    void record_local_loss(const base::upstream_instance& of, const std::string& body) {
         const auto report = this->loss(of, body);
         quarantine::note_crash(this->world.state.quarantine, report, report.at, {});
     }
 
-    void lose_there(const base::upstream_instance& of, const std::string& body, base::micros late) {
+    void report_remote_loss(const base::upstream_instance& of, const std::string& body,
+                            base::micros delay) {
         const auto report = this->loss(of, body);
         this->world.move_clock(base::milliseconds(20));
-        this->tell_late(peering::to_message(report, this->world.entry().now()), late);
+        this->send_delayed(peering::to_message(report, this->world.entry().now()), delay);
     }
 
-    std::size_t held_after_a_while() {
+    std::size_t count_holds_later() {
         this->world.move_clock(base::milliseconds(400));
         return quarantine::take_decisions(this->world.state.quarantine, this->world.entry().now(),
                                           {})
@@ -261,170 +267,171 @@
 
 // Guards against holding a harmless request for engines lost together, one of them told of late.
 TEST_CASE("a crash that is told late happened no later", "[proxy][quarantine]") {
-    const auto late = GENERATE(values<base::milliseconds::rep>({0, 40, 60, 100, 200, 1000, 5000}));
-    CAPTURE(late);
-    crash_world linked;
-    linked.lose_here(first_engine, "popular");
-    linked.lose_there(second_engine, "popular", base::milliseconds(late));
-    REQUIRE(linked.told == 1);
-    CHECK(linked.held_after_a_while() == 0);
+    const auto delay = GENERATE(values<base::milliseconds::rep>({0, 40, 60, 100, 200, 1000, 5000}));
+    CAPTURE(delay);
+    crash_world peer;
+    peer.record_local_loss(first_engine, "popular");
+    peer.report_remote_loss(second_engine, "popular", base::milliseconds(delay));
+    REQUIRE(peer.reports_received == 1);
+    CHECK(peer.count_holds_later() == 0);
 }
 
 // Guards against not holding a fatal request that is told of after others at the same crash.
 TEST_CASE("a copy that is told of late was sent no later", "[proxy][quarantine]") {
-    const auto late = GENERATE(values<base::milliseconds::rep>({0, 40, 200, 1000, 5000}));
-    CAPTURE(late);
-    crash_world linked;
-    linked.lose_here(first_engine, "fatal");
-    linked.world.move_clock(base::seconds(1));
-    linked.lose_here(second_engine, "bystander");
-    linked.lose_there(second_engine, "fatal", base::milliseconds(late));
-    REQUIRE(linked.told == 1);
-    CHECK(linked.held_after_a_while() == 1);
+    const auto delay = GENERATE(values<base::milliseconds::rep>({0, 40, 200, 1000, 5000}));
+    CAPTURE(delay);
+    crash_world peer;
+    peer.record_local_loss(first_engine, "fatal");
+    peer.world.move_clock(base::seconds(1));
+    peer.record_local_loss(second_engine, "bystander");
+    peer.report_remote_loss(second_engine, "fatal", base::milliseconds(delay));
+    REQUIRE(peer.reports_received == 1);
+    CHECK(peer.count_holds_later() == 1);
 }
 
 // Guards against shunned engines and refused requests for as long again as a word lay unread.
 TEST_CASE("what another entry tells for a while holds from when it was written", "[proxy]") {
-    crash_world linked;
-    linked.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
-    const auto& engine = linked.world.state.fleet.members.at({"engine"});
-    const base::instant written = linked.world.entry().now();
-    constexpr base::milliseconds late{800};
+    crash_world peer;
+    peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
+    const auto& engine = peer.world.state.fleet.members.at({"engine"});
+    const base::instant written = peer.world.entry().now();
+    constexpr base::milliseconds delay{800};
 
     SECTION("a suspicion") {
-        linked.tell_late(
+        peer.send_delayed(
             peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "unreachable", false},
-            late);
+            delay);
         CHECK(engine.suspected_until == written + base::milliseconds(1000));
     }
     SECTION("a change of weights") {
-        linked.tell_late(
-            peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "loading", true}, late);
+        peer.send_delayed(
+            peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "loading", true}, delay);
         CHECK(engine.weights_change_until == written + base::milliseconds(1000));
     }
     SECTION("a hold") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
-        linked.tell_late(peering::quarantine_notice{request, base::minutes(1)}, late);
-        const auto held =
-            quarantine::held(linked.world.state.quarantine, linked.world.entry().now());
+        peer.send_delayed(peering::quarantine_notice{request, base::minutes(1)}, delay);
+        const auto held = quarantine::held(peer.world.state.quarantine, peer.world.entry().now());
         REQUIRE(held.size() == 1);
-        CHECK(held[0].span == base::minutes(1) - late);
+        CHECK(held[0].span == base::minutes(1) - delay);
     }
     SECTION("a hold that has ended meanwhile") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
-        linked.tell_late(peering::quarantine_notice{request, base::milliseconds(500)}, late);
-        REQUIRE(linked.told == 1);
-        CHECK(quarantine::held(linked.world.state.quarantine, linked.world.entry().now()).empty());
+        peer.send_delayed(peering::quarantine_notice{request, base::milliseconds(500)}, delay);
+        REQUIRE(peer.reports_received == 1);
+        CHECK(quarantine::held(peer.world.state.quarantine, peer.world.entry().now()).empty());
     }
 }
 
 // Guards against requests to an upstream that has long left, at each entry that links anew.
 TEST_CASE("an upstream leaves from when it said so, wherever that is told", "[proxy][words]") {
-    const auto late = GENERATE(values<base::milliseconds::rep>({0, 800, 5000}));
-    CAPTURE(late);
-    crash_world linked;
+    const auto delay = GENERATE(values<base::milliseconds::rep>({0, 800, 5000}));
+    CAPTURE(delay);
+    crash_world peer;
     tests::proxy_world other;
     other.stop_clock();
-    for (auto* each : {&linked.world, &other}) {
+    for (auto* each : {&peer.world, &other}) {
         each->add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     }
-    const auto said_at = linked.world.entry().now();
+    const auto reported_at = peer.world.entry().now();
     proxy::record_drain_report(other.entry(), {{"engine"}, {}}, "", other.entry().now());
-    for (auto* each : {&linked.world, &other}) {
+    for (auto* each : {&peer.world, &other}) {
         each->move_clock(base::minutes(1));
     }
-    const auto told = proxy::leaving_to_tell(other.entry());
-    REQUIRE(told.size() == 1);
-    linked.tell_late(told.at(0), base::milliseconds(late));
-    const auto& engine = linked.world.state.fleet.members.at({"engine"});
+    const auto reports = proxy::collect_drain_reports(other.entry());
+    REQUIRE(reports.size() == 1);
+    peer.send_delayed(reports.at(0), base::milliseconds(delay));
+    const auto& engine = peer.world.state.fleet.members.at({"engine"});
     REQUIRE(engine.drain_reported_at);
-    CHECK(*engine.drain_reported_at == said_at);
-    CHECK_FALSE(fleet::may_serve_in_grace(engine, linked.world.entry().now(),
-                                          proxy::fleet_rules_of(linked.world.entry().settings)));
+    CHECK(*engine.drain_reported_at == reported_at);
+    CHECK_FALSE(fleet::may_serve_in_grace(engine, peer.world.entry().now(),
+                                          proxy::fleet_rules_of(peer.world.entry().settings)));
 }
 
 // Guards against words dated by an earlier life of their entry, or by when a new link was read.
 TEST_CASE("what comes on a new link is dated by the life of its entry", "[proxy]") {
-    crash_world linked;
-    linked.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
-    const auto& engine = linked.world.state.fleet.members.at({"engine"});
-    linked.other->close();
-    REQUIRE(linked.tick_until([&] { return linked.others.linked().empty(); }));
-    linked.world.move_clock(base::minutes(1));
-    linked.heard.clear();
-    REQUIRE(linked.tick_until([&] { return !linked.heard.empty(); }));
-    const bool is_new_life = GENERATE(true, false);
-    CAPTURE(is_new_life);
-    if (is_new_life) {
+    crash_world peer;
+    peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
+    const auto& engine = peer.world.state.fleet.members.at({"engine"});
+    peer.other->close();
+    REQUIRE(peer.tick_until([&] { return peer.others.connected_entries().empty(); }));
+    peer.world.move_clock(base::minutes(1));
+    peer.received_messages.clear();
+    REQUIRE(peer.tick_until([&] { return !peer.received_messages.empty(); }));
+    const bool is_new_incarnation = GENERATE(true, false);
+    CAPTURE(is_new_incarnation);
+    if (is_new_incarnation) {
         // By now it has been running for longer than it had when it was last heard.
-        linked.other_started = linked.world.entry().now() - base::seconds(30);
-        linked.greet(2);
+        peer.other_started = peer.world.entry().now() - base::seconds(30);
+        peer.send_handshake(2);
     }
-    const base::instant written = linked.world.entry().now();
-    const base::micros uptime = written - linked.other_started;
-    linked.world.move_clock(base::milliseconds(300));
-    linked.send(peering::handshake{{"zz"}, {"a"}, is_new_life ? 2 : 1}, uptime);
-    linked.send(
-        peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "unreachable", false},
-        uptime);
-    REQUIRE(linked.reads_all());
+    const base::instant written = peer.world.entry().now();
+    const base::micros uptime = written - peer.other_started;
+    peer.world.move_clock(base::milliseconds(300));
+    peer.send(peering::handshake{{"zz"}, {"a"}, is_new_incarnation ? 2 : 1}, uptime);
+    peer.send(peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "unreachable", false},
+              uptime);
+    REQUIRE(peer.all_messages_read());
     CHECK(engine.suspected_until == written + base::milliseconds(1000));
 }
 
 // Guards against requests on outdated weights at an entry that has just started, which can't know
 // how long they have been outdated: another entry's answer may lie unread while it stands still.
 TEST_CASE("the age of weights that another entry tells counts from the question", "[proxy]") {
-    linked_world linked;
-    linked.world.stop_clock();
-    linked.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
+    peer_world peer;
+    peer.world.stop_clock();
+    peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     const base::model_id model{"desk-8b"};
-    linked.world.state.fleet.members.at({"engine"}).listed.models = {{model, 1}};
-    auto& history = linked.world.state.weights[model];
-    proxy::note_named(history, 2, {{}, {}, linked.world.entry().now()});
-    const auto last_question = [&]() -> const peering::store_query* {
-        const auto* last = linked.heard.empty() ? nullptr : &linked.heard.back();
+    peer.world.state.fleet.members.at({"engine"}).listed.models = {{model, 1}};
+    auto& history = peer.world.state.weights[model];
+    proxy::record_target(history, 2, {{}, {}, peer.world.entry().now()});
+    const auto last_query = [&]() -> const peering::store_query* {
+        const auto* last =
+            peer.received_messages.empty() ? nullptr : &peer.received_messages.back();
         return last == nullptr ? nullptr : std::get_if<peering::store_query>(last);
     };
-    REQUIRE(linked.tick_until([&] { return last_question() != nullptr; }));
-    const auto asked_by = linked.world.entry().now();
+    REQUIRE(peer.tick_until([&] { return last_query() != nullptr; }));
+    const auto queried_by = peer.world.entry().now();
     const auto answer = [&](std::vector<peering::target_weights> named) {
         peering::store_view view;
-        view.query_id = last_question()->query_id;
+        view.query_id = last_query()->query_id;
         view.targets = std::move(named);
-        linked.world.move_clock(base::seconds(5));
-        linked.send(view);
+        peer.world.move_clock(base::seconds(5));
+        peer.send(view);
     };
     answer({{model, 2, base::seconds(1)}});
-    const auto is_dated = [&] { return proxy::named_after(history.named.at(2)).has_value(); };
-    REQUIRE(linked.world.run_until(is_dated));
-    CHECK(proxy::outdated_since(history, 1) <= asked_by - base::seconds(1));
-    CHECK(proxy::outdated_since(history, 1) > asked_by - base::seconds(2));
+    const auto is_dated = [&] {
+        return proxy::latest_set_after(history.targets.at(2)).has_value();
+    };
+    REQUIRE(peer.world.run_until(is_dated));
+    CHECK(proxy::outdated_since(history, 1) <= queried_by - base::seconds(1));
+    CHECK(proxy::outdated_since(history, 1) > queried_by - base::seconds(2));
 
     SECTION("and nobody is asked any more once it is known closely") {
-        history.named.at(2).learned = *proxy::named_after(history.named.at(2));
-        CHECK_FALSE(proxy::wants_weights_dates(linked.world.entry()));
+        history.targets.at(2).learned_at = *proxy::latest_set_after(history.targets.at(2));
+        CHECK_FALSE(proxy::needs_target_dates(peer.world.entry()));
     }
 }
 
 // Guards against prompts that are refused for seconds since an entry that knows when weights were
 // named does not say so.
 TEST_CASE("an entry tells when weights were named", "[proxy]") {
-    linked_world linked;
-    linked.world.stop_clock();
+    peer_world peer;
+    peer.world.stop_clock();
     const base::model_id model{"desk-8b"};
-    const auto now = linked.world.entry().now();
-    auto& history = linked.world.state.weights[model];
-    proxy::note_named(history, 2, {now - base::seconds(3), {}, now - base::seconds(2)});
-    proxy::note_named(history, 3, {{}, {}, now});
-    const auto told = proxy::named_weights_to_tell(linked.world.entry());
-    REQUIRE(told.size() == 2);
-    CHECK(told[0].version == 2);
-    CHECK(told[0].age == base::seconds(3));
-    CHECK_FALSE(told[1].age);
+    const auto now = peer.world.entry().now();
+    auto& history = peer.world.state.weights[model];
+    proxy::record_target(history, 2, {now - base::seconds(3), {}, now - base::seconds(2)});
+    proxy::record_target(history, 3, {{}, {}, now});
+    const auto reports = proxy::target_weights_to_report(peer.world.entry());
+    REQUIRE(reports.size() == 2);
+    CHECK(reports[0].version == 2);
+    CHECK(reports[0].age == base::seconds(3));
+    CHECK_FALSE(reports[1].age);
 
     SECTION("and nothing once that is long ago") {
-        linked.world.move_clock(proxy::max_outdated_weights_age(linked.world.entry().settings) +
-                                base::seconds(1));
-        CHECK(proxy::named_weights_to_tell(linked.world.entry()).empty());
+        peer.world.move_clock(proxy::max_outdated_weights_age(peer.world.entry().settings) +
+                              base::seconds(1));
+        CHECK(proxy::target_weights_to_report(peer.world.entry()).empty());
     }
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -3,7 +3,7 @@
 #include "adapters/sockets.h"
 #include "kvcache/lanes.h"
 #include "process/operators_port.h"
-#include "proxy/weights_news.h"
+#include "proxy/target_weights.h"
 
 #include <algorithm>
 #include <cmath>
@@ -43,45 +43,47 @@
       context{
           this->loop,
           this->settings,
-          this->platform.words,
+          this->platform.codec,
           this->state,
           this->connections,
           this->log,
           this->metrics,
           adapters::boot_now,
           [this](const base::upstream_instance& upstream, base::micros span, const char* why) {
-              this->others.tell(peering::suspicion{
+              this->peer_entries.broadcast(peering::suspicion{
                   upstream, std::chrono::duration_cast<base::milliseconds>(span), why});
           },
           [this](const base::upstream_instance& upstream, base::micros span) {
-              this->others.tell(peering::suspicion{
+              this->peer_entries.broadcast(peering::suspicion{
                   upstream, std::chrono::duration_cast<base::milliseconds>(span), "loading", true});
           },
           [this](const base::upstream_instance& upstream, const base::model_id& model,
                  std::int64_t version) {
               record_weights(this->context, upstream, model, version);
-              this->others.tell(peering::loaded_weights{upstream, model, version});
+              this->peer_entries.broadcast(peering::loaded_weights{upstream, model, version});
           },
           [this](const base::upstream_instance& upstream) {
-              this->others.tell(peering::upstream_draining{upstream});
+              this->peer_entries.broadcast(peering::upstream_draining{upstream});
           },
-          [this](const broken_attempt& broken) { this->crashes.note_broken(broken); }},
+          [this](const broken_attempt& broken) { this->crashes.record_broken_attempt(broken); }},
       platform_calls(std::make_shared<adapters::platform_budget>()),
       store_calls(adapters::with_budget(this->platform.make_store(this->loop.base(),
                                                                   this->settings.platform.endpoint,
                                                                   this->settings.platform.timeout),
                                         this->loop, this->platform_calls,
                                         [this](adapters::platform_call kind, base::micros wait) {
-                                            this->note_held_back(kind, wait);
+                                            this->log_deferred_call(kind, wait);
                                         })),
-      store(this->context, this->store_calls), news(this->context, this->store_calls),
-      leader(this->context, this->store_calls, [this] { return this->others.linked(); }),
-      loader(this->context,
-             {[this] { return this->leader.may_order(); }, [this] { return this->leader.name(); },
-              [this] { return this->leader.fence(); }}),
-      others(this->context, this->store_calls), crashes(this->context),
-      quarantined(this->context, this->store_calls, [this] { return this->leader.fence() != 0; }),
-      kv_stores(this->context, [this] { return this->others.linked(); }) {}
+      store(this->context, this->store_calls), updates(this->context, this->store_calls),
+      leader(this->context, this->store_calls,
+             [this] { return this->peer_entries.connected_entries(); }),
+      loader(this->context, {[this] { return this->leader.may_issue_commands(); },
+                             [this] { return this->leader.name(); },
+                             [this] { return this->leader.fencing_token(); }}),
+      peer_entries(this->context, this->store_calls), crashes(this->context),
+      hold_records(this->context, this->store_calls,
+                   [this] { return this->leader.fencing_token() != 0; }),
+      kv_stores(this->context, [this] { return this->peer_entries.connected_entries(); }) {}
 
 bool proxy::listen() {
     this->callers = std::make_unique<caller_server>(
@@ -106,18 +108,18 @@
     const std::pair<const char*, bool> listened[] = {
         {"listen", this->callers->listen(this->settings.listen)},
         {"ready_listen", this->balancer->listen(this->settings.ready_listen)},
-        {"peer_listen", this->others.listen()},
+        {"peer_listen", this->peer_entries.listen()},
         {"operators_listen", this->operators->listen(this->settings.operators_listen)}};
-    for (const auto& [name, fine] : listened) {
-        if (!fine) {
+    for (const auto& [name, succeeded] : listened) {
+        if (!succeeded) {
             this->log.line(importance::keep, "cannot_listen").text("setting", name);
         }
     }
-    this->share_out_descriptors();
+    this->apply_descriptor_limits();
     return listened[0].second && listened[1].second;
 }
 
-void proxy::share_out_descriptors() {
+void proxy::apply_descriptor_limits() {
     const std::size_t limit = adapters::descriptor_limit();
     const auto shares = share_descriptors(limit);
     this->callers->limit_connections(shares.callers);
@@ -169,87 +171,87 @@
     return 0;
 }
 
-void proxy::note_held_back(adapters::platform_call kind, base::micros wait) {
+void proxy::log_deferred_call(adapters::platform_call kind, base::micros wait) {
     this->log.line(importance::keep, "store_call_held_back")
         .text("call", std::string(adapters::name_of(kind)))
         .span("for_ms", wait);
 }
 
 void proxy::connect_parts() {
-    this->store.linked_entries = [this] { return this->others.linked(); };
-    this->store.tell = [this](const peering::store_changes& message) {
-        this->others.tell(message);
+    this->store.connected_entries = [this] { return this->peer_entries.connected_entries(); };
+    this->store.broadcast = [this](const peering::store_changes& message) {
+        this->peer_entries.broadcast(message);
     };
-    this->others.store_told = [this](const peering::store_changes& told) {
-        return this->news.take(told) != store_news::outcome::missed;
+    this->peer_entries.store_changes_received = [this](const peering::store_changes& told) {
+        return this->updates.receive(told) != store_updates::outcome::gap;
     };
-    this->others.awaits_store = [this] { return this->news.reading(); };
-    this->news.unreadable = [this] { this->others.ask_soon(); };
-    this->others.proves_store = [this] { return this->store.proving(); };
-    const auto take_news = [this](const char* told_by) {
-        return [this, told_by](const std::set<std::string>& keys) {
-            this->on_store_change(keys, told_by);
+    this->peer_entries.is_reading_store = [this] { return this->updates.is_reading(); };
+    this->updates.read_failed = [this] { this->peer_entries.query_soon(); };
+    this->peer_entries.confirms_store = [this] { return this->store.is_confirming(); };
+    const auto apply_changes_from = [this](const char* source) {
+        return [this, source](const std::set<std::string>& keys) {
+            this->on_store_change(keys, source);
         };
     };
-    this->store.changed = take_news("store");
-    this->news.changed = take_news("entry");
-    this->others.store_changed = take_news("entry_asked");
-    this->others.weights_changed = [this](const peering::loaded_weights& told) {
+    this->store.changed = apply_changes_from("store");
+    this->updates.changed = apply_changes_from("entry");
+    this->peer_entries.store_changed = apply_changes_from("entry_asked");
+    this->peer_entries.weights_changed = [this](const peering::loaded_weights& told) {
         record_weights(this->context, told.upstream, told.model, told.version);
     };
-    this->others.named_weights_told = [this](const base::entry_id& from,
-                                             const std::vector<peering::target_weights>& told,
-                                             base::instant asked_at) {
-        if (take_told_weights(this->context, from, told, asked_at)) {
-            this->renew_begin_deadlines();
-        }
-    };
-    this->others.kept_told = [this](const base::entry_id& from,
-                                    const peering::kv_store_contents& told) {
-        this->kv_stores.take(from, told);
+    this->peer_entries.target_weights_received =
+        [this](const base::entry_id& from, const std::vector<peering::target_weights>& told,
+               base::instant asked_at) {
+            if (apply_reported_targets(this->context, from, told, asked_at)) {
+                this->renew_begin_deadlines();
+            }
+        };
+    this->peer_entries.kv_store_contents_received = [this](const base::entry_id& from,
+                                                           const peering::kv_store_contents& told) {
+        this->kv_stores.receive(from, told);
     };
-    this->others.greeting = [this] { return this->greeting(); };
+    this->peer_entries.initial_messages = [this] { return this->initial_messages(); };
     this->connect_quarantine();
-    this->kv_stores.tell = [this](const peering::kv_store_contents& message) {
-        this->others.tell(message);
+    this->kv_stores.broadcast = [this](const peering::kv_store_contents& message) {
+        this->peer_entries.broadcast(message);
     };
-    this->others.count_changed = [this] { this->set_retry_budgets(); };
+    this->peer_entries.count_changed = [this] { this->set_retry_budgets(); };
 }
 
-std::vector<peering::message> proxy::greeting() const {
-    auto all = this->kv_stores.whole_views();
-    for (auto& each : this->crashes.greeting()) {
+std::vector<peering::message> proxy::initial_messages() const {
+    auto all = this->kv_stores.complete_views();
+    for (auto& each : this->crashes.initial_messages()) {
         all.push_back(std::move(each));
     }
-    for (const auto& each : leaving_to_tell(this->context)) {
+    for (const auto& each : collect_drain_reports(this->context)) {
         all.emplace_back(each);
     }
     return all;
 }
 
 void proxy::connect_quarantine() {
-    this->crashes.tell = [this](const peering::message& message) { this->others.tell(message); };
-    this->crashes.held_back = [this](const quarantine::hold& held, bool decided_here) {
-        this->note_hold(held, decided_here);
-    };
-    this->others.crash_told = [this](const base::entry_id& from, const peering::crash_report& told,
-                                     base::instant written) {
-        this->crashes.take(from, told, written);
+    this->crashes.broadcast = [this](const peering::message& message) {
+        this->peer_entries.broadcast(message);
     };
-    this->others.hold_told = [this](const base::entry_id& from,
-                                    const peering::quarantine_notice& told, base::instant written) {
-        this->crashes.take(from, told, written);
+    this->crashes.hold_started = [this](const quarantine::hold& hold, bool decided_here) {
+        this->on_hold_started(hold, decided_here);
     };
+    this->peer_entries.crash_report_received =
+        [this](const base::entry_id& from, const peering::crash_report& told,
+               base::instant written) { this->crashes.receive(from, told, written); };
+    this->peer_entries.quarantine_notice_received =
+        [this](const base::entry_id& from, const peering::quarantine_notice& told,
+               base::instant written) { this->crashes.receive(from, told, written); };
 }
 
-void proxy::note_hold(const quarantine::hold& held, bool decided_here) {
+void proxy::on_hold_started(const quarantine::hold& hold, bool decided_here) {
     if (decided_here) {
-        this->quarantined.keep(held);
+        this->hold_records.add(hold);
     }
     // Those that are called off end, and leave the list.
-    const auto under_way = this->flows;
-    for (const auto& [number, flow] : under_way) {
-        flow->call_off(held);
+    const auto in_flight = this->flows;
+    for (const auto& [number, flow] : in_flight) {
+        flow->call_off(hold);
     }
 }
 
@@ -268,12 +270,12 @@
     this->flows.emplace(number, flow);
     flow->on_end = [this, number] {
         this->flows.erase(number);
-        this->exit_when_done();
+        this->advance_shutdown();
     };
     flow->begin();
 }
 
-void proxy::note_readiness() {
+void proxy::log_readiness() {
     const bool now_ready = this->ready();
     if (now_ready != this->was_ready) {
         this->was_ready = now_ready;
@@ -287,14 +289,14 @@
 }
 
 void proxy::tick() {
-    this->note_readiness();
+    this->log_readiness();
     note_accepting(this->accepting, this->view_accepting(), this->context.now(), this->log);
-    this->exit_when_done();
+    this->advance_shutdown();
     this->connections.sweep();
     this->crashes.tick();
-    this->quarantined.tick();
-    this->others.tick();
-    this->follow_entries();
+    this->hold_records.tick();
+    this->peer_entries.tick();
+    this->update_quota_entries();
     this->store.tick();
     this->kv_stores.tick();
     this->assign_lanes();
@@ -329,12 +331,12 @@
     this->settings_text = text;
     auto parsed = settings::parse_settings(text);
     const auto* fresh = std::get_if<settings::proxy_settings>(&parsed.settings);
-    const bool fine = parsed.faults.empty() && fresh != nullptr;
+    const bool succeeded = parsed.faults.empty() && fresh != nullptr;
     this->log.line(importance::keep, "reload")
         .text("why", why)
-        .flag("taken", fine)
+        .flag("taken", succeeded)
         .text("fault", parsed.faults.empty() ? "" : parsed.faults.front().text);
-    if (!fine) {
+    if (!succeeded) {
         return;
     }
     // Addresses stay as they are: changing them would cut requests under way.
@@ -347,14 +349,14 @@
         return;
     }
     this->state.stopping = true;
-    this->ending.begun_at = this->context.now();
+    this->shutdown.begun_at = this->context.now();
     this->log.line(importance::keep, "stop")
         .number("flows", static_cast<std::int64_t>(this->flows.size()));
-    this->note_readiness();
+    this->log_readiness();
     this->callers->close_after_answers();
-    this->others.resign();
+    this->peer_entries.deregister();
     const shutdown_rules rules;
-    this->loop.after(rules.balancer_notices, [this] { this->exit_when_done(); });
+    this->loop.after(rules.balancer_notices, [this] { this->advance_shutdown(); });
     this->loop.after(this->settings.bounds.grace - exit_margin - rules.resign_time,
                      [this] { this->leader.resign(); });
     this->loop.after(this->settings.bounds.grace - exit_margin, [this] {
@@ -366,11 +368,11 @@
     });
 }
 
-void proxy::exit_when_done() {
+void proxy::advance_shutdown() {
     const shutdown_rules rules;
     while (true) {
         const auto step =
-            next_step(this->ending,
+            next_step(this->shutdown,
                       {this->context.now(), this->flows.size(), this->callers->unsent()}, rules);
         switch (step) {
         case shutdown_step::stop_taking:
@@ -380,7 +382,7 @@
             // An entry that leads goes on doing so until now: in a rolling restart the next one is
             // stopped soon too.
             this->leader.resign();
-            this->loop.after(rules.resign_time, [this] { this->exit_when_done(); });
+            this->loop.after(rules.resign_time, [this] { this->advance_shutdown(); });
             break;
         case shutdown_step::exit:
             this->loop.stop();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -8,7 +8,7 @@
 #include "adapters/timeline.h"
 #include "proxy/caller_server.h"
 #include "proxy/context.h"
-#include "proxy/crash_watch.h"
+#include "proxy/crash_detector.h"
 #include "proxy/descriptors.h"
 #include "proxy/kv_store_follower.h"
 #include "proxy/leadership.h"
@@ -17,7 +17,7 @@
 #include "proxy/request_flow.h"
 #include "proxy/shutdown.h"
 #include "proxy/store_follower.h"
-#include "proxy/store_news.h"
+#include "proxy/store_updates.h"
 #include "proxy/weights_loader.h"
 
 #include <map>
@@ -29,7 +29,7 @@
 
 // What the daemon is given of the platform it runs on.
 struct proxy_platform {
-    ports::platform_codec words;
+    ports::platform_codec codec;
     std::function<ports::platform(event_base*, const std::string& address,
                                   base::milliseconds timeout)>
         make_store;
@@ -49,29 +49,29 @@
     void connect_parts();
     void connect_quarantine();
     // What an entry is told that has just linked.
-    [[nodiscard]] std::vector<peering::message> greeting() const;
-    void note_held_back(adapters::platform_call kind, base::micros wait);
+    [[nodiscard]] std::vector<peering::message> initial_messages() const;
+    void log_deferred_call(adapters::platform_call kind, base::micros wait);
     void on_request(const exchange_ptr& exchange);
     // `told_by`: who brought the news, for the log.
-    void on_store_change(const std::set<std::string>& keys, const char* told_by);
+    void on_store_change(const std::set<std::string>& keys, const char* source);
     // More is known of when weights were named.
     void renew_begin_deadlines();
-    void take_config();
-    void forget_dropped_routes();
-    void take_upstreams(const char* told_by);
+    void apply_config();
+    void prune_prompt_sizes();
+    void apply_upstream_list(const char* source);
     void assign_lanes();
-    void note_hold(const quarantine::hold& held, bool decided_here);
+    void on_hold_started(const quarantine::hold& hold, bool decided_here);
     void set_retry_budgets();
     // Takes who is listed and who is heard, which decides what of the quotas entries may give out.
-    void follow_entries();
-    void show_quotas();
+    void update_quota_entries();
+    void refresh_quota_metrics();
     void tick();
     void reload(const char* why);
     void stop();
-    void exit_when_done();
+    void advance_shutdown();
     [[nodiscard]] bool ready() const;
-    void note_readiness();
-    void share_out_descriptors();
+    void log_readiness();
+    void apply_descriptor_limits();
     [[nodiscard]] accepting_view view_accepting() const;
     [[nodiscard]] nlohmann::json status() const;
     void refresh_metrics();
@@ -92,12 +92,12 @@
     std::shared_ptr<adapters::platform_budget> platform_calls;
     ports::platform store_calls;
     store_follower store;
-    store_news news;
+    store_updates updates;
     leadership leader;
     weights_loader loader;
-    peers others;
-    crash_watch crashes;
-    quarantine_records quarantined;
+    peers peer_entries;
+    crash_detector crashes;
+    quarantine_records hold_records;
     kv_store_follower kv_stores;
     std::unique_ptr<caller_server> callers;
     std::unique_ptr<adapters::http_server> balancer;
@@ -105,13 +105,13 @@
     // By number, so that they are gone through in the order of their arrival.
     std::map<std::int64_t, std::shared_ptr<request_flow>> flows;
     std::int64_t last_flow = 0;
-    shutdown_state ending;
+    shutdown_state shutdown;
     bool was_ready = false;
     accepting_notes accepting;
     // Entries of the platform's list that could not be read, as last logged.
-    std::map<base::upstream_id, std::int64_t> unreadable;
+    std::map<base::upstream_id, std::int64_t> unreadable_upstreams;
     // Listed upstreams whose address another one has taken, as last logged.
-    std::map<base::upstream_id, base::upstream_id> replaced;
+    std::map<base::upstream_id, base::upstream_id> replaced_upstreams;
 };
 
 } // namespace camphorrail::proxy
--- a/src/proxy/proxy_status.cpp
+++ b/src/proxy/proxy_status.cpp
@@ -36,15 +36,15 @@
     for (const auto& [model, history] : this->state.weights) {
         for (const auto& [id, one] : this->state.fleet.members) {
             const std::int64_t held = fleet::weights_version_of(one, model);
-            holding_newest += held > 0 && held >= newest(history) ? 1 : 0;
-            holding_older += held > 0 && held < newest(history) ? 1 : 0;
+            holding_newest += held > 0 && held >= newest_version(history) ? 1 : 0;
+            holding_older += held > 0 && held < newest_version(history) ? 1 : 0;
         }
     }
     this->metrics.set("camphorrail_upstream_weights", holding_newest, {{"version", "newest"}});
     this->metrics.set("camphorrail_upstream_weights", holding_older, {{"version", "older"}});
 }
 
-void proxy::show_quotas() {
+void proxy::refresh_quota_metrics() {
     const auto show = [this](const char* name, const base::team_id& team, double value) {
         this->metrics.set(name, value, {{"team", team.value}});
     };
@@ -88,7 +88,7 @@
         "camphorrail_quarantined_requests",
         static_cast<double>(quarantine::held(this->state.quarantine, this->context.now()).size()));
     this->refresh_weights_metric();
-    this->show_quotas();
+    this->refresh_quota_metrics();
     std::int64_t fit = 0;
     for (const auto& [id, one] : this->state.fleet.members) {
         fit += fleet::is_eligible(one, this->context.now()) ? 1 : 0;
--- a/src/proxy/proxy_beliefs.cpp
+++ b/src/proxy/proxy_store_updates.cpp
@@ -1,7 +1,7 @@
 #include "kvcache/lanes.h"
 #include "proxy/proxy.h"
+#include "proxy/target_weights.h"
 #include "proxy/upstream_list.h"
-#include "proxy/weights_news.h"
 
 #include <algorithm>
 #include <set>
@@ -19,26 +19,26 @@
 
 } // namespace
 
-void proxy::on_store_change(const std::set<std::string>& keys, const char* told_by) {
-    this->leader.note_store_change();
+void proxy::on_store_change(const std::set<std::string>& keys, const char* source) {
+    this->leader.on_store_change();
     bool upstreams = false;
     for (const auto& key : keys) {
-        upstreams = upstreams || key.starts_with(this->platform.words.upstreams_prefix);
+        upstreams = upstreams || key.starts_with(this->platform.codec.upstreams_prefix);
     }
-    if (keys.count(this->platform.words.operators_config_key) > 0) {
-        this->take_config();
+    if (keys.count(this->platform.codec.operators_config_key) > 0) {
+        this->apply_config();
     }
-    if (take_named_weights(this->context, told_by)) {
+    if (read_target_weights(this->context, source)) {
         this->renew_begin_deadlines();
     }
-    for (const auto& held : this->quarantined.read(keys)) {
-        this->crashes.take_written(held);
+    for (const auto& hold : this->hold_records.read(keys)) {
+        this->crashes.restore_hold(hold);
     }
     if (upstreams) {
-        this->take_upstreams(told_by);
+        this->apply_upstream_list(source);
     }
-    this->follow_entries();
-    this->note_readiness();
+    this->update_quota_entries();
+    this->log_readiness();
 }
 
 void proxy::renew_begin_deadlines() {
@@ -47,12 +47,12 @@
     }
 }
 
-void proxy::take_config() {
-    const auto found = this->state.store.items.find(this->platform.words.operators_config_key);
+void proxy::apply_config() {
+    const auto found = this->state.store.items.find(this->platform.codec.operators_config_key);
     if (found == this->state.store.items.end()) {
         return;
     }
-    auto read = this->platform.words.parse_config(found->second.value);
+    auto read = this->platform.codec.parse_config(found->second.value);
     if (!read.has_value()) {
         // The one in force stays: half a configuration would refuse callers that are allowed.
         this->log.line(importance::keep, "config_unreadable")
@@ -73,13 +73,13 @@
     this->set_retry_budgets();
     quota::set_limits(this->state.quotas, this->state.config->teams, this->context.now(),
                       quota_rules_of(this->settings));
-    this->forget_dropped_routes();
+    this->prune_prompt_sizes();
 }
 
-void proxy::follow_entries() {
+void proxy::update_quota_entries() {
     const auto rules = quota_rules_of(this->settings);
     const base::instant now = this->context.now();
-    quota::set_entries(this->state.quotas, this->others.listed_entries(), now, rules);
+    quota::set_entries(this->state.quotas, this->peer_entries.listed_entries(), now, rules);
     const auto changes = quota::silence_changes(this->state.quotas, now, rules);
     if (this->state.quotas.teams.empty()) {
         return;
@@ -92,7 +92,7 @@
     }
 }
 
-void proxy::forget_dropped_routes() {
+void proxy::prune_prompt_sizes() {
     std::set<std::string> names;
     for (const auto& route : this->state.config->routes) {
         names.insert(route.name);
@@ -113,54 +113,55 @@
     }
 }
 
-void proxy::take_upstreams(const char* told_by) {
-    const auto list = read_upstream_list(this->state.store, this->platform.words);
+void proxy::apply_upstream_list(const char* source) {
+    const auto list = read_upstream_list(this->state.store, this->platform.codec);
     const auto change = fleet::apply_list(this->state.fleet, list.upstreams, this->context.now());
     for (const auto& [id, revision] : list.unreadable) {
         fleet::mark_replaced(this->state.fleet, id);
         // Said once for each entry that can't be read, however often the list is read again.
-        if (const auto said = this->unreadable.find(id);
-            said == this->unreadable.end() || said->second != revision) {
+        if (const auto logged = this->unreadable_upstreams.find(id);
+            logged == this->unreadable_upstreams.end() || logged->second != revision) {
             this->log.line(importance::keep, "upstream_unreadable")
                 .text("upstream", id.value)
                 .number("revision", revision);
         }
     }
-    this->unreadable = list.unreadable;
+    this->unreadable_upstreams = list.unreadable;
     for (const auto& [id, by] : list.replaced) {
         fleet::mark_replaced(this->state.fleet, id);
         this->connections.forget(id);
-        if (this->replaced.count(id) == 0) {
+        if (this->replaced_upstreams.count(id) == 0) {
             this->log.line(importance::keep, "upstream_replaced")
                 .text("upstream", id.value)
                 .text("by", by.value);
-            this->crashes.note_replaced(id);
+            this->crashes.record_replaced(id);
         }
     }
-    this->replaced = list.replaced;
+    this->replaced_upstreams = list.replaced;
     kvcache::assign_lanes(this->state.fleet, this->state.lanes, this->context.now(), {});
-    const auto tell = [this, told_by](const char* event,
-                                      const std::vector<base::upstream_id>& ids) {
+    const auto log_each = [this, source](const char* event,
+                                         const std::vector<base::upstream_id>& ids) {
         for (const auto& id : ids) {
-            const auto& one = this->state.fleet.members.at(id);
+            const auto& member = this->state.fleet.members.at(id);
             this->log.line(importance::keep, event)
                 .text("upstream", id.value)
-                .text("pool", one.listed.pool.value)
-                .text("address", one.listed.address)
-                .flag("leaving", one.listed.draining)
-                .number("incarnation", one.listed.incarnation.value)
-                .number("weights", one.listed.models.empty() ? 0 : one.listed.models[0].second)
+                .text("pool", member.listed.pool.value)
+                .text("address", member.listed.address)
+                .flag("leaving", member.listed.draining)
+                .number("incarnation", member.listed.incarnation.value)
+                .number("weights",
+                        member.listed.models.empty() ? 0 : member.listed.models[0].second)
                 .number("revision", this->state.store.revision)
-                .text("told_by", told_by);
+                .text("told_by", source);
         }
     };
-    tell("upstream_added", change.added);
-    tell("upstream_changed", change.changed);
-    tell("upstream_unlisted", change.removed);
+    log_each("upstream_added", change.added);
+    log_each("upstream_changed", change.changed);
+    log_each("upstream_unlisted", change.removed);
     for (const auto& id : change.restarted) {
-        const auto& one = this->state.fleet.members.at(id);
-        this->crashes.note_ended({id, one.previous_incarnations.back()});
-        discard_previous_incarnation(this->context, fleet::instance_of(one));
+        const auto& member = this->state.fleet.members.at(id);
+        this->crashes.record_ended({id, member.previous_incarnations.back()});
+        discard_previous_incarnation(this->context, fleet::instance_of(member));
     }
     for (const auto& id : change.weights_changed) {
         kvcache::forget_reader(this->state.cache, id);
--- a/src/proxy/quarantine_records.cpp
+++ b/src/proxy/quarantine_records.cpp
@@ -14,17 +14,17 @@
 
 constexpr base::milliseconds call_pause{1000};
 // The platform's store is shared. More requests than this are held back by the entries alone.
-constexpr std::size_t most_records = 64;
+constexpr std::size_t max_records = 64;
 
-std::string to_text(const quarantine::hold& begun) {
-    const auto span = std::chrono::duration_cast<base::milliseconds>(begun.span);
-    return json{{"body_bytes", begun.request.body_bytes},
+std::string encode_record(const quarantine::hold& hold) {
+    const auto span = std::chrono::duration_cast<base::milliseconds>(hold.span);
+    return json{{"body_bytes", hold.request.body_bytes},
                 {"hold_ms", span.count()},
-                {"crashes", begun.crashes}}
+                {"crashes", hold.crashes}}
         .dump();
 }
 
-std::optional<quarantine::hold> read_record(const std::string& digest, const std::string& text) {
+std::optional<quarantine::hold> parse_record(const std::string& digest, const std::string& text) {
     const json read = json::parse(text, nullptr, false);
     const bool fits = read.is_object() && read.contains("body_bytes") &&
                       read["body_bytes"].is_number_unsigned() && read.contains("hold_ms") &&
@@ -42,14 +42,14 @@
 
 quarantine_records::quarantine_records(entry_context& context, ports::platform platform_calls,
                                        std::function<bool()> is_leader)
-    : context(context), platform(std::move(platform_calls)), leads(std::move(is_leader)) {}
+    : context(context), platform(std::move(platform_calls)), is_leader(std::move(is_leader)) {}
 
 std::string quarantine_records::prefix() const {
     return this->context.codec.own_prefix + "quarantine/";
 }
 
-void quarantine_records::keep(const quarantine::hold& begun) {
-    this->unwritten[begun.request.digest] = begun;
+void quarantine_records::add(const quarantine::hold& hold) {
+    this->unwritten[hold.request.digest] = hold;
     this->tick();
 }
 
@@ -61,7 +61,7 @@
         if (!key.starts_with(below) || item == this->context.state.store.items.end()) {
             continue;
         }
-        const auto record = read_record(key.substr(below.size()), item->second.value);
+        const auto record = parse_record(key.substr(below.size()), item->second.value);
         if (!record) {
             this->context.log.line(importance::keep, "quarantine_unreadable").text("key", key);
             continue;
@@ -72,12 +72,12 @@
 }
 
 void quarantine_records::tick() {
-    if (this->calling || this->context.now() < this->next_call) {
+    if (this->call_pending || this->context.now() < this->next_call) {
         return;
     }
     if (!this->unwritten.empty()) {
         this->write_next();
-    } else if (this->leads()) {
+    } else if (this->is_leader()) {
         this->erase_next();
     }
 }
@@ -92,14 +92,14 @@
     const std::string key = this->prefix() + next->first.value;
     const auto& store = this->context.state.store;
     const bool written = store.items.count(key) > 0;
-    const bool full = mirror::items_below(store, this->prefix()).size() >= most_records;
+    const bool full = mirror::items_below(store, this->prefix()).size() >= max_records;
     if (written || full || !this->is_held(next->first)) {
         this->unwritten.erase(next);
         return;
     }
     ports::transaction change;
     change.preconditions = {{key, 0}};
-    change.writes = {{key, to_text(next->second), false, 0}};
+    change.writes = {{key, encode_record(next->second), false, 0}};
     this->commit(change);
 }
 
@@ -117,10 +117,10 @@
 }
 
 void quarantine_records::commit(const ports::transaction& change) {
-    this->calling = true;
+    this->call_pending = true;
     const base::request_digest digest{change.writes.front().key.substr(this->prefix().size())};
     this->platform.commit(change, [this, digest](const base::result<ports::commit_result>& done) {
-        this->calling = false;
+        this->call_pending = false;
         this->next_call = this->context.now() + call_pause;
         if (done.has_value()) {
             // Where another entry was first, its record says the same.
--- a/src/proxy/quarantine_records.h
+++ b/src/proxy/quarantine_records.h
@@ -17,10 +17,10 @@
 public:
     // `leads`: whether this entry is the leader.
     quarantine_records(entry_context& context, ports::platform platform,
-                       std::function<bool()> leads);
+                       std::function<bool()> is_leader);
 
     // Has a hold written down, now or when the store answers again.
-    void keep(const quarantine::hold& begun);
+    void add(const quarantine::hold& hold);
     // The holds among keys that have changed in the mirror.
     [[nodiscard]] std::vector<quarantine::hold> read(const std::set<std::string>& keys) const;
     void tick();
@@ -34,9 +34,9 @@
 
     entry_context& context;
     ports::platform platform;
-    std::function<bool()> leads;
+    std::function<bool()> is_leader;
     std::map<base::request_digest, quarantine::hold> unwritten;
-    bool calling = false;
+    bool call_pending = false;
     base::instant next_call{};
 };
 
--- a/src/proxy/quarantine_records_tests.cpp
+++ b/src/proxy/quarantine_records_tests.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 // A store that keeps what is written, and may be away.
-struct small_store {
+struct fake_store {
     mirror::store_mirror& mirror;
-    bool away = false;
+    bool unavailable = false;
     int calls = 0;
 
     ports::platform calls_to() {
         ports::platform made;
         made.commit = [this](const ports::transaction& change, const auto& done) {
             ++this->calls;
-            if (this->away) {
+            if (this->unavailable) {
                 done(base::code::platform_unreachable);
                 return;
             }
@@ -63,12 +63,13 @@
 // anew.
 TEST_CASE("a hold stands in the store for entries that start later", "[proxy][quarantine]") {
     tests::proxy_world world;
-    small_store store{world.state.store};
-    bool leads = false;
-    proxy::quarantine_records records(world.entry(), store.calls_to(), [&leads] { return leads; });
+    fake_store store{world.state.store};
+    bool is_leader = false;
+    proxy::quarantine_records records(world.entry(), store.calls_to(),
+                                      [&is_leader] { return is_leader; });
     const base::instant now = world.entry().now();
     quarantine::hold_back(world.state.quarantine, fatal.request, fatal.span, now, {});
-    records.keep(fatal);
+    records.add(fatal);
     CHECK(store.calls == 1);
     const auto written = records.read(all_keys(world));
     REQUIRE(written.size() == 1);
@@ -78,7 +79,7 @@
 
     SECTION("written once, whoever decides it too") {
         world.move_clock(base::seconds(2));
-        records.keep(fatal);
+        records.add(fatal);
         CHECK(store.calls == 1);
     }
     SECTION("until the leader erases it when its time is over") {
@@ -86,7 +87,7 @@
         quarantine::expire(world.state.quarantine, world.entry().now(), {});
         records.tick();
         CHECK(records.read(all_keys(world)).size() == 1);
-        leads = true;
+        is_leader = true;
         records.tick();
         CHECK(records.read(all_keys(world)).empty());
     }
@@ -102,16 +103,16 @@
 
 TEST_CASE("a hold is written down once the store is back", "[proxy][quarantine]") {
     tests::proxy_world world;
-    small_store store{world.state.store};
+    fake_store store{world.state.store};
     proxy::quarantine_records records(world.entry(), store.calls_to(), [] { return false; });
     quarantine::hold_back(world.state.quarantine, fatal.request, fatal.span, world.entry().now(),
                           {});
-    store.away = true;
-    records.keep(fatal);
+    store.unavailable = true;
+    records.add(fatal);
     records.tick();
     CHECK(store.calls == 1);
     CHECK(records.read(all_keys(world)).empty());
-    store.away = false;
+    store.unavailable = false;
     world.move_clock(base::seconds(2));
     records.tick();
     CHECK(records.read(all_keys(world)).size() == 1);
--- a/src/proxy/request_answers.cpp
+++ b/src/proxy/request_answers.cpp
@@ -244,7 +244,7 @@
     const bool has_room = load && load->waiting == 0 && load->running < load->slots;
     const bool outdated =
         this->wanted.prompt != nullptr &&
-        choice.weights < newest(history_of(this->context.state, this->facts.model));
+        choice.weights < newest_version(history_of(this->context.state, this->facts.model));
     if (one != nullptr) {
         const bool changing = outdated || this->current->facts.wrong_instance;
         one->busy_until = std::max(one->busy_until,
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -406,7 +406,7 @@
         this->config.pools[{"pool"}].engine_tokens = 72000;
         this->prove_config();
         this->upstream().listed.models = {{{"desk-8b"}, 1}};
-        proxy::note_named(this->state.weights[{"desk-8b"}], 1, {});
+        proxy::record_target(this->state.weights[{"desk-8b"}], 1, {});
     }
 
     fleet::member& upstream() { return this->state.fleet.members.at({"i-1"}); }
@@ -531,7 +531,7 @@
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
     const auto longest = proxy::max_outdated_weights_age(world.entry().settings);
     const auto named = world.entry().now() - longest + base::milliseconds(50);
-    proxy::note_named(world.state.weights[{"desk-8b"}], 2, {named, {}, named});
+    proxy::record_target(world.state.weights[{"desk-8b"}], 2, {named, {}, named});
     const auto seen = world.call(prompt("stream", "r1"));
     REQUIRE(world.engine.requests.size() == 1);
     CHECK(world.entry().now() < named + world.entry().settings.bounds.outdated_weights);
@@ -544,7 +544,7 @@
                                  send(tests::chunk(events(1, 1))), hang};
         });
         const auto since = calm.entry().now() - longest + base::milliseconds(50);
-        proxy::note_named(calm.state.weights[{"desk-8b"}], 2, {since, {}, since});
+        proxy::record_target(calm.state.weights[{"desk-8b"}], 2, {since, {}, since});
         const auto bound = since + calm.entry().settings.bounds.outdated_weights;
         calm.call_until(prompt("stream", "r2"), [&] { return calm.entry().now() >= bound; });
         CHECK_FALSE(calm.last_seen().ended);
@@ -562,8 +562,8 @@
     world.call_until(prompt("stream", "r1"), [&] {
         if (named == base::instant{} && !world.engine.requests.empty()) {
             named = world.entry().now() - longest + base::milliseconds(50);
-            proxy::note_named(world.state.weights[{"desk-8b"}], 2,
-                              {named, {}, world.entry().now()});
+            proxy::record_target(world.state.weights[{"desk-8b"}], 2,
+                                 {named, {}, world.entry().now()});
             world.renew_begin_deadlines();
         }
         return world.last_seen().ended || !world.last_seen().heads.empty();
@@ -582,8 +582,8 @@
         calm.call_until(prompt("stream", "r2"), [&] {
             if (bound == base::instant{} && !calm.last_seen().heads.empty()) {
                 const auto since = calm.entry().now() - longest + base::milliseconds(50);
-                proxy::note_named(calm.state.weights[{"desk-8b"}], 2,
-                                  {since, {}, calm.entry().now()});
+                proxy::record_target(calm.state.weights[{"desk-8b"}], 2,
+                                     {since, {}, calm.entry().now()});
                 calm.renew_begin_deadlines();
                 bound = since + calm.entry().settings.bounds.outdated_weights;
             }
--- a/src/proxy/request_quota_tests.cpp
+++ b/src/proxy/request_quota_tests.cpp
@@ -157,7 +157,7 @@
         const auto news = telling.collect(1);
         REQUIRE(news.near.has_value());
         const auto heard = peering::decode(peering::encode({*news.near}));
-        listening.take(std::get<peering::load_report>(heard.value().payload), false);
+        listening.receive(std::get<peering::load_report>(heard.value().payload), false);
     };
     tell();
     for (int each = 0; each < 9; ++each) {
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -12,11 +12,11 @@
 constexpr base::milliseconds watch_wait{20000};
 // A configuration of 70 teams takes 50 KB. Told by three entries to nineteen each, three of them in
 // a row filled links of 10 Mbit/s for two seconds.
-constexpr std::size_t most_told_bytes = 4096;
+constexpr std::size_t max_inline_bytes = 4096;
 // The store takes no more in one transaction.
-constexpr std::size_t most_expectations = 32;
+constexpr std::size_t max_preconditions = 32;
 // The store takes no longer keys.
-constexpr std::size_t longest_key_bytes = 200;
+constexpr std::size_t max_key_bytes = 200;
 // Everything below the empty prefix.
 const std::string all_keys;
 
@@ -32,19 +32,19 @@
 }
 
 entries::store_duty_view store_follower::view() const {
-    return {
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, store_duty_name),
-        mirror::age(this->context.state.store, this->context.now()), this->context.now()};
+    return {entries::place_in_line(this->connected_entries(), this->context.settings.id,
+                                   store_duty_name),
+            mirror::age(this->context.state.store, this->context.now()), this->context.now()};
 }
 
-bool store_follower::proving() const {
+bool store_follower::is_confirming() const {
     return this->view().place == 0;
 }
 
 void store_follower::tick() {
-    const bool before = this->duty.following;
+    const bool was_following = this->duty.following;
     const auto due = entries::next_store_calls(this->duty, this->view(), this->rules);
-    this->note_following(before);
+    this->log_following_change(was_following);
     if (due.read) {
         this->read_all();
     }
@@ -52,22 +52,22 @@
         this->watch();
     }
     if (due.prove) {
-        this->prove();
+        this->confirm();
     }
 }
 
-void store_follower::note_following(bool before) {
-    if (this->duty.following == before) {
+void store_follower::log_following_change(bool was_following) {
+    if (this->duty.following == was_following) {
         return;
     }
-    this->context.log.line(importance::keep, before ? "store_left" : "store_followed")
+    this->context.log.line(importance::keep, was_following ? "store_left" : "store_followed")
         .number("revision", this->context.state.store.revision)
         .span("config_age_ms", logged_config_age(this->context));
 }
 
-void store_follower::apply(std::int64_t revision_before, const std::set<std::string>& keys) {
+void store_follower::publish(std::int64_t revision_before, const std::set<std::string>& keys) {
     if (this->duty.following) {
-        this->tell_changes(revision_before);
+        this->broadcast_changes(revision_before);
     }
     if (!keys.empty()) {
         this->changed(keys);
@@ -77,19 +77,19 @@
 // All that is newer than the revision before, and not only what was news here: a large value that
 // this entry has read itself may be newer than its mirror's revision. Left out, others would take
 // the later revision for theirs without it, and serve by an old configuration.
-void store_follower::tell_changes(std::int64_t revision_before) const {
+void store_follower::broadcast_changes(std::int64_t revision_before) const {
     auto since = mirror::changes_since(this->context.state.store, revision_before);
     if (!since || since->revision == revision_before) {
         return;
     }
-    peering::store_changes told{revision_before, {}, std::move(*since)};
-    for (auto& each : told.changes.items) {
-        if (each.item.value.size() > most_told_bytes) {
-            told.omitted_keys.insert(each.item.key);
+    peering::store_changes message{revision_before, {}, std::move(*since)};
+    for (auto& each : message.changes.items) {
+        if (each.item.value.size() > max_inline_bytes) {
+            message.omitted_keys.insert(each.item.key);
             each.item.value.clear();
         }
     }
-    this->tell(told);
+    this->broadcast(message);
 }
 
 void store_follower::read_all() {
@@ -101,10 +101,10 @@
             const std::int64_t before = store.revision;
             const auto changed = mirror::take_snapshot(store, read.value(), began);
             mirror::note_revision(store, read.value().revision, began);
-            this->apply(before, changed);
+            this->publish(before, changed);
         }
         entries::note_store_read(this->duty, read.has_value(), this->view(), this->rules);
-        this->note_answer(read.has_value());
+        this->update_reachability(read.has_value());
         if (read.has_value() && first) {
             this->context.log.line(importance::keep, "store_read")
                 .number("revision", read.value().revision)
@@ -114,29 +114,29 @@
 }
 
 void store_follower::watch() {
-    const std::int64_t mine = ++this->generation;
+    const std::int64_t generation = ++this->watch_generation;
     this->platform.watch(all_keys, this->context.state.store.revision, watch_wait,
-                         [this, mine](base::result<ports::changes> told) {
-                             const bool answered = told.has_value();
-                             const bool forgotten = answered && told.value().compacted;
-                             if (answered && !forgotten) {
+                         [this, generation](base::result<ports::changes> update) {
+                             const bool answered = update.has_value();
+                             const bool compacted = answered && update.value().compacted;
+                             if (answered && !compacted) {
                                  auto& store = this->context.state.store;
                                  const std::int64_t before = store.revision;
-                                 this->apply(before, mirror::take_changes(store, told.value()));
+                                 this->publish(before, mirror::take_changes(store, update.value()));
                              }
-                             if (mine != this->generation) {
+                             if (generation != this->watch_generation) {
                                  return;
                              }
-                             if (forgotten) {
+                             if (compacted) {
                                  this->context.log.line(importance::keep, "store_history_lost")
                                      .number("revision", this->context.state.store.revision);
                              }
-                             entries::note_watch_end(this->duty, answered, forgotten, this->view(),
+                             entries::note_watch_end(this->duty, answered, compacted, this->view(),
                                                      this->rules);
                          });
 }
 
-ports::transaction store_follower::operators_part() const {
+ports::transaction store_follower::make_confirmation_check() const {
     ports::transaction check;
     const auto& items = this->context.state.store.items;
     const auto expect = [&check](const ports::stored_value& item) {
@@ -153,8 +153,8 @@
                                                 this->context.codec.target_weights_prefix)) {
         expect(item);
     }
-    for (const auto& key : this->unnamed_weights()) {
-        if (check.preconditions.size() < most_expectations) {
+    for (const auto& key : this->missing_target_keys()) {
+        if (check.preconditions.size() < max_preconditions) {
             check.preconditions.push_back({key, 0});
         }
     }
@@ -164,14 +164,14 @@
 // The keys, missing so far, at which weights would be named for the models that upstreams hold.
 // With proofs that leave them out, an entry whose watch has fallen silent would pass for up to
 // date, and begin requests on weights that have been outdated for long.
-std::set<std::string> store_follower::unnamed_weights() const {
+std::set<std::string> store_follower::missing_target_keys() const {
     std::set<std::string> keys;
-    for (const auto& [id, one] : this->context.state.fleet.members) {
-        for (const auto& [model, version] : one.listed.models) {
+    for (const auto& [id, member] : this->context.state.fleet.members) {
+        for (const auto& [model, version] : member.listed.models) {
             const std::string key = this->context.codec.target_weights_prefix + model.value;
             // The names come from upstreams, and one that no key can hold must fail no proof.
-            const bool may_be_named = key.size() <= longest_key_bytes;
-            if (may_be_named && this->context.state.store.items.count(key) == 0) {
+            const bool fits_key = key.size() <= max_key_bytes;
+            if (fits_key && this->context.state.store.items.count(key) == 0) {
                 keys.insert(key);
             }
         }
@@ -179,10 +179,10 @@
     return keys;
 }
 
-void store_follower::prove() {
+void store_follower::confirm() {
     const base::instant began = this->context.now();
     this->platform.commit(
-        this->operators_part(), [this, began](base::result<ports::commit_result> answer) {
+        this->make_confirmation_check(), [this, began](base::result<ports::commit_result> answer) {
             auto& store = this->context.state.store;
             entries::proof_outcome outcome;
             outcome.answered = answer.has_value();
@@ -193,11 +193,11 @@
                 mirror::note_revision(store, answer.value().revision, began);
             }
             entries::note_proof(this->duty, outcome, this->view(), this->rules);
-            this->note_answer(outcome.answered);
+            this->update_reachability(outcome.answered);
         });
 }
 
-void store_follower::note_answer(bool answered) {
+void store_follower::update_reachability(bool answered) {
     if (answered == this->reachable) {
         return;
     }
--- a/src/proxy/store_follower.h
+++ b/src/proxy/store_follower.h
@@ -29,11 +29,11 @@
     // Makes the calls to the store that are due.
     void tick();
     // Entries that a link stands to; to be set before the start.
-    std::function<std::vector<base::entry_id>()> linked_entries;
+    std::function<std::vector<base::entry_id>()> connected_entries;
     // Tells them what has changed; to be set before the start.
-    std::function<void(const peering::store_changes&)> tell;
+    std::function<void(const peering::store_changes&)> broadcast;
     // Whether this entry is the one that proves the store's contents for all it is linked to.
-    [[nodiscard]] bool proving() const;
+    [[nodiscard]] bool is_confirming() const;
 
     // Told after the mirror has changed, with the keys.
     std::function<void(const std::set<std::string>&)> changed;
@@ -41,21 +41,21 @@
 private:
     void read_all();
     void watch();
-    void prove();
-    void note_answer(bool answered);
-    void note_following(bool before);
-    void apply(std::int64_t revision_before, const std::set<std::string>& keys);
-    void tell_changes(std::int64_t revision_before) const;
+    void confirm();
+    void update_reachability(bool answered);
+    void log_following_change(bool was_following);
+    void publish(std::int64_t revision_before, const std::set<std::string>& keys);
+    void broadcast_changes(std::int64_t revision_before) const;
     [[nodiscard]] entries::store_duty_view view() const;
-    [[nodiscard]] ports::transaction operators_part() const;
-    [[nodiscard]] std::set<std::string> unnamed_weights() const;
+    [[nodiscard]] ports::transaction make_confirmation_check() const;
+    [[nodiscard]] std::set<std::string> missing_target_keys() const;
 
     entry_context& context;
     ports::platform platform;
     entries::store_duty duty;
     entries::store_duty_rules rules;
     // Watches of an earlier generation have been given up; what they still tell is late, not wrong.
-    std::int64_t generation = 0;
+    std::int64_t watch_generation = 0;
     bool reachable = false;
 };
 
--- a/src/proxy/store_follower_tests.cpp
+++ b/src/proxy/store_follower_tests.cpp
@@ -29,9 +29,9 @@
         watch = std::move(done);
     };
     proxy::store_follower follower(world.entry(), platform);
-    std::vector<peering::store_changes> told;
-    follower.linked_entries = [] { return std::vector<base::entry_id>{}; };
-    follower.tell = [&](const peering::store_changes& message) { told.push_back(message); };
+    std::vector<peering::store_changes> sent;
+    follower.connected_entries = [] { return std::vector<base::entry_id>{}; };
+    follower.broadcast = [&](const peering::store_changes& message) { sent.push_back(message); };
     follower.changed = [](const std::set<std::string>&) {};
     follower.start();
     REQUIRE(world.run_until([&] {
@@ -39,14 +39,14 @@
         follower.tick();
         return watch != nullptr;
     }));
-    told.clear();
+    sent.clear();
 
     watch(ports::changes{13, {{{"config", "c", 12}, false}, {{"late", "l", 13}, false}}, false});
-    REQUIRE(told.size() == 1);
-    CHECK(told.front().base_revision == 11);
-    CHECK(told.front().changes.revision == 13);
+    REQUIRE(sent.size() == 1);
+    CHECK(sent.front().base_revision == 11);
+    CHECK(sent.front().changes.revision == 13);
     std::set<std::string> keys;
-    for (const auto& each : told.front().changes.items) {
+    for (const auto& each : sent.front().changes.items) {
         keys.insert(each.item.key);
     }
     CHECK(keys == std::set<std::string>{"config", "late"});
@@ -68,10 +68,10 @@
     // It has fallen silent.
     platform.watch = [](const std::string&, std::int64_t, base::milliseconds, auto) {};
     proxy::store_follower follower(world.entry(), platform);
-    follower.linked_entries = [] { return std::vector<base::entry_id>{}; };
-    follower.tell = [](const peering::store_changes&) {};
-    bool heard = false;
-    follower.changed = [&](const std::set<std::string>&) { heard = true; };
+    follower.connected_entries = [] { return std::vector<base::entry_id>{}; };
+    follower.broadcast = [](const peering::store_changes&) {};
+    bool changed = false;
+    follower.changed = [&](const std::set<std::string>&) { changed = true; };
     follower.start();
     const auto tick = [&] {
         world.move_clock(base::milliseconds(100));
@@ -83,10 +83,10 @@
     const auto named_at = world.entry().now();
     const std::string key = world.entry().codec.target_weights_prefix + "desk-8b";
     values = {{key, "2", ++revision}};
-    for (int count = 0; count < 100 && !heard; ++count) {
+    for (int count = 0; count < 100 && !changed; ++count) {
         tick();
     }
-    REQUIRE(heard);
+    REQUIRE(changed);
     const auto dated = mirror::written_after(world.state.store, key);
     REQUIRE(dated);
     CHECK(*dated <= named_at);
@@ -123,8 +123,8 @@
     // It has fallen silent.
     platform.watch = [](const std::string&, std::int64_t, base::milliseconds, auto) {};
     proxy::store_follower follower(world.entry(), platform);
-    follower.linked_entries = [] { return std::vector<base::entry_id>{}; };
-    follower.tell = [](const peering::store_changes&) {};
+    follower.connected_entries = [] { return std::vector<base::entry_id>{}; };
+    follower.broadcast = [](const peering::store_changes&) {};
     follower.changed = [](const std::set<std::string>&) {};
     follower.start();
     const auto tick = [&] {
