--- a/src/proxy/store_news.h
+++ b/src/proxy/store_updates.h
@@ -16,35 +16,35 @@
 // A large value, as a configuration of many teams, is named and not told: its few tellers would
 // fill their links with it. Each entry reads such a key itself, by a read that may be old and costs
 // a tenth, and asks again where what came is older than what was told.
-class store_news {
+class store_updates {
 public:
-    store_news(entry_context& context, ports::platform platform);
+    store_updates(entry_context& context, ports::platform platform);
 
-    enum class outcome { taken, reading, missed };
+    enum class outcome { applied, reading, gap };
     // `missed`: something before it was not heard of, so it could not be taken.
-    outcome take(const peering::store_changes& told);
+    outcome receive(const peering::store_changes& message);
     // A large value is being read. Until it is there, a whole view would bring it over a link.
-    [[nodiscard]] bool reading() const { return this->current.has_value(); }
+    [[nodiscard]] bool is_reading() const { return this->current.has_value(); }
 
     // Told after the mirror has changed, with the keys.
     std::function<void(const std::set<std::string>&)> changed;
     // A large value could not be read; other entries are to be asked.
-    std::function<void()> unreadable;
+    std::function<void()> read_failed;
 
 private:
-    void apply(const peering::store_changes& told);
-    void apply_small(const peering::store_changes& told);
+    void apply(const peering::store_changes& message);
+    void apply_inline(const peering::store_changes& message);
     void read_next();
-    void take_value(const std::string& key, int attempt,
-                    const base::result<std::optional<ports::stored_value>>& read);
-    void read(const std::string& key, int attempt);
-    void take_waiting();
+    void handle_value(const std::string& key, int attempt,
+                      const base::result<std::optional<ports::stored_value>>& read);
+    void read_value(const std::string& key, int attempt);
+    void apply_pending();
 
     entry_context& context;
     ports::platform platform;
     // What waits for its large values, and what was told meanwhile.
     std::optional<peering::store_changes> current;
-    std::deque<peering::store_changes> waiting;
+    std::deque<peering::store_changes> pending;
 };
 
 } // namespace camphorrail::proxy
--- a/src/proxy/store_news_tests.cpp
+++ b/src/proxy/store_updates_tests.cpp
@@ -1,4 +1,4 @@
-#include "proxy/store_news.h"
+#include "proxy/store_updates.h"
 #include "proxy_world.h"
 
 #include <catch2/catch.hpp>
@@ -9,41 +9,41 @@
 
 namespace {
 
-using outcome = proxy::store_news::outcome;
+using outcome = proxy::store_updates::outcome;
 
 // An entry that is told of the store, and a store that answers its reads when the test says.
-struct news_world {
-    struct asked_key {
+struct updates_world {
+    struct pending_read {
         std::string key;
-        ports::read_consistency wanted;
+        ports::read_consistency consistency;
         std::function<void(base::result<std::optional<ports::stored_value>>)> done;
     };
 
     tests::proxy_world world;
-    std::deque<asked_key> asked;
+    std::deque<pending_read> pending_reads;
     std::set<std::string> changed;
-    int unreadable = 0;
-    proxy::store_news news;
+    int read_failed = 0;
+    proxy::store_updates updates;
 
-    news_world() : news(this->world.entry(), this->store()) {
+    updates_world() : updates(this->world.entry(), this->store()) {
         this->world.state.store.revision = 10;
-        this->news.changed = [this](const std::set<std::string>& keys) {
+        this->updates.changed = [this](const std::set<std::string>& keys) {
             this->changed.insert(keys.begin(), keys.end());
         };
-        this->news.unreadable = [this] { ++this->unreadable; };
+        this->updates.read_failed = [this] { ++this->read_failed; };
     }
 
     ports::platform store() {
         ports::platform made;
-        made.read_key = [this](std::string key, ports::read_consistency wanted, auto done) {
-            this->asked.push_back({std::move(key), wanted, std::move(done)});
+        made.read_key = [this](std::string key, ports::read_consistency consistency, auto done) {
+            this->pending_reads.push_back({std::move(key), consistency, std::move(done)});
         };
         return made;
     }
 
     void answer(base::result<std::optional<ports::stored_value>> with) {
-        const auto done = std::move(this->asked.front().done);
-        this->asked.pop_front();
+        const auto done = std::move(this->pending_reads.front().done);
+        this->pending_reads.pop_front();
         done(std::move(with));
     }
 
@@ -53,22 +53,22 @@
     }
 };
 
-peering::store_changes small(std::int64_t after, const std::string& key) {
+peering::store_changes inline_change(std::int64_t after, const std::string& key) {
     return {after, {}, {after + 1, {{{key, "small", after + 1}, false}}}};
 }
 
-peering::store_changes large(std::int64_t after, const std::string& key) {
+peering::store_changes omitted_change(std::int64_t after, const std::string& key) {
     return {after, {key}, {after + 1, {{{key, "", after + 1}, false}}}};
 }
 
 } // namespace
 
 TEST_CASE("small changes are taken as told", "[proxy]") {
-    news_world world;
-    CHECK(world.news.take(small(10, "a")) == outcome::taken);
+    updates_world world;
+    CHECK(world.updates.receive(inline_change(10, "a")) == outcome::applied);
     CHECK(world.value_of("a") == "small");
-    CHECK(world.asked.empty());
-    CHECK(world.news.take(small(13, "b")) == outcome::missed);
+    CHECK(world.pending_reads.empty());
+    CHECK(world.updates.receive(inline_change(13, "b")) == outcome::gap);
     CHECK(world.value_of("b").empty());
 }
 
@@ -76,12 +76,12 @@
 // that took the later change without the large one would count itself up to date and serve by the
 // old configuration for good.
 TEST_CASE("a large value is read by each entry itself, and what follows waits for it", "[proxy]") {
-    news_world world;
-    CHECK(world.news.take(large(10, "config")) == outcome::reading);
-    CHECK(world.news.take(small(11, "b")) == outcome::reading);
+    updates_world world;
+    CHECK(world.updates.receive(omitted_change(10, "config")) == outcome::reading);
+    CHECK(world.updates.receive(inline_change(11, "b")) == outcome::reading);
     CHECK(world.world.state.store.revision == 10);
-    REQUIRE(world.asked.size() == 1);
-    CHECK(world.asked.front().wanted == ports::read_consistency::stale_allowed);
+    REQUIRE(world.pending_reads.size() == 1);
+    CHECK(world.pending_reads.front().consistency == ports::read_consistency::stale_allowed);
 
     SECTION("until it is there") {
         world.answer(std::optional(ports::stored_value{"config", "much", 11}));
@@ -89,15 +89,15 @@
         CHECK(world.value_of("b") == "small");
         CHECK(world.world.state.store.revision == 12);
         CHECK(world.changed == std::set<std::string>{"b", "config"});
-        CHECK_FALSE(world.news.reading());
+        CHECK_FALSE(world.updates.is_reading());
     }
     SECTION("and is asked for again where what came is older than what was told") {
         for (int old = 0; old < 3; ++old) {
             world.answer(std::optional(ports::stored_value{"config", "old", 9}));
             CHECK(world.value_of("config").empty());
-            REQUIRE(world.world.run_until([&] { return !world.asked.empty(); }));
+            REQUIRE(world.world.run_until([&] { return !world.pending_reads.empty(); }));
         }
-        CHECK(world.asked.front().wanted == ports::read_consistency::linearizable);
+        CHECK(world.pending_reads.front().consistency == ports::read_consistency::linearizable);
         world.answer(std::optional(ports::stored_value{"config", "newer", 14}));
         CHECK(world.value_of("config") == "newer");
         // What was told up to here; the newer item does not make the entry newer in all.
@@ -105,8 +105,8 @@
     }
     SECTION("and other entries are asked where the store turns this one away") {
         world.answer(base::code::platform_unreachable);
-        CHECK(world.unreadable == 1);
-        CHECK_FALSE(world.news.reading());
+        CHECK(world.read_failed == 1);
+        CHECK_FALSE(world.updates.is_reading());
         CHECK(world.world.state.store.revision == 10);
     }
 }
@@ -116,12 +116,12 @@
 // the value is there, the news came a second and more late, and requests went to the upstream
 // beyond the bound that holds from the store's acknowledgement.
 TEST_CASE("an upstream's leaving does not wait for a large value", "[proxy]") {
-    news_world world;
-    auto together = large(10, "config");
+    updates_world world;
+    auto together = omitted_change(10, "config");
     together.changes.items.push_back({{"up/a", "leaving", 11}, false});
-    CHECK(world.news.take(together) == outcome::reading);
+    CHECK(world.updates.receive(together) == outcome::reading);
     CHECK(world.value_of("up/a") == "leaving");
-    CHECK(world.news.take(small(11, "up/b")) == outcome::reading);
+    CHECK(world.updates.receive(inline_change(11, "up/b")) == outcome::reading);
     CHECK(world.value_of("up/b") == "small");
     CHECK(world.changed == std::set<std::string>{"up/a", "up/b"});
     // The entry does not know all up to there yet.
--- a/src/proxy/weights_news.cpp
+++ b/src/proxy/target_weights.cpp
@@ -1,4 +1,4 @@
-#include "proxy/weights_news.h"
+#include "proxy/target_weights.h"
 
 #include <algorithm>
 
@@ -15,22 +15,22 @@
     return moment ? now - *moment : unknown_span;
 }
 
-std::optional<base::instant> known_after(const weights_history& history, std::int64_t version) {
-    const auto found = history.named.find(version);
-    return found == history.named.end() ? std::nullopt : named_after(found->second);
+std::optional<base::instant> known_set_after(const weights_history& history, std::int64_t version) {
+    const auto found = history.targets.find(version);
+    return found == history.targets.end() ? std::nullopt : latest_set_after(found->second);
 }
 
 // Whether a version was learned of so lately that it matters when it was named.
-bool has_recent(const entry_context& context, const weights_history& history) {
+bool has_recent_target(const entry_context& context, const weights_history& history) {
     return any_learned_within(history, context.now(), max_outdated_weights_age(context.settings));
 }
 
 // The oldest version of a model that a listed upstream holds; nothing where none holds any.
 std::optional<std::int64_t> oldest_held(const entry_context& context, const base::model_id& model) {
     std::optional<std::int64_t> oldest;
-    for (const auto& [id, one] : context.state.fleet.members) {
-        const auto held = fleet::weights_version_of(one, model);
-        if (fleet::is_available(one) && held > 0) {
+    for (const auto& [id, member] : context.state.fleet.members) {
+        const auto held = fleet::weights_version_of(member, model);
+        if (fleet::is_available(member) && held > 0) {
             oldest = std::min(oldest.value_or(held), held);
         }
     }
@@ -39,7 +39,7 @@
 
 } // namespace
 
-bool take_named_weights(entry_context& context, const char* told_by) {
+bool read_target_weights(entry_context& context, const char* source) {
     auto& state = context.state;
     const base::instant now = context.now();
     bool any_new = false;
@@ -49,68 +49,69 @@
             context.log.line(importance::keep, "weights_unreadable").text("key", item.key);
             continue;
         }
-        const auto& named = read.value();
-        auto& history = state.weights[named.model];
+        const auto& target = read.value();
+        auto& history = state.weights[target.model];
         const auto after = mirror::written_after(state.store, item.key);
-        if (!note_named(history, named.version, {after, {}, now})) {
+        if (!record_target(history, target.version, {after, {}, now})) {
             continue;
         }
         any_new = true;
-        forget_replaced(history, now, max_outdated_weights_age(context.settings));
+        prune_superseded(history, now, max_outdated_weights_age(context.settings));
         context.log.line(importance::keep, "weights_named")
-            .text("model", named.model.value)
-            .number("version", named.version)
+            .text("model", target.model.value)
+            .number("version", target.version)
             .number("revision", item.mod_revision)
             .flag("dated", after.has_value())
-            .text("told_by", told_by)
+            .text("told_by", source)
             .span("named_within_ms", logged_age(after, now));
     }
     return any_new;
 }
 
-bool take_told_weights(entry_context& context, const base::entry_id& from,
-                       const std::vector<peering::target_weights>& told, base::instant asked_at) {
+bool apply_reported_targets(entry_context& context, const base::entry_id& from,
+                            const std::vector<peering::target_weights>& reports,
+                            base::instant queried_at) {
     const base::instant now = context.now();
-    bool any_closer = false;
-    for (const auto& each : told) {
+    bool any_improved = false;
+    for (const auto& each : reports) {
         auto& history = context.state.weights[each.model];
-        const auto before = known_after(history, each.version);
-        const auto after = each.age ? std::optional(asked_at - *each.age) : std::nullopt;
-        if (!note_told(history, each.version, after, now)) {
+        const auto before = known_set_after(history, each.version);
+        const auto after = each.age ? std::optional(queried_at - *each.age) : std::nullopt;
+        if (!record_reported_target(history, each.version, after, now)) {
             continue;
         }
-        any_closer = true;
+        any_improved = true;
         context.log.line(importance::keep, "weights_dated")
             .text("model", each.model.value)
             .number("version", each.version)
             .text("entry", from.value)
-            .span("named_within_ms", logged_age(known_after(history, each.version), now))
+            .span("named_within_ms", logged_age(known_set_after(history, each.version), now))
             .span("before_ms", logged_age(before, now));
     }
-    return any_closer;
+    return any_improved;
 }
 
-std::vector<peering::target_weights> named_weights_to_tell(const entry_context& context) {
+std::vector<peering::target_weights> target_weights_to_report(const entry_context& context) {
     const base::instant now = context.now();
-    std::vector<peering::target_weights> told;
+    std::vector<peering::target_weights> reports;
     for (const auto& [model, history] : context.state.weights) {
-        if (!has_recent(context, history)) {
+        if (!has_recent_target(context, history)) {
             continue;
         }
         // All of them: who learns of the second of two newer versions alone would take the one
         // before them to be outdated since the second.
-        for (const auto& [version, seen] : history.named) {
-            const auto after = named_after(seen);
+        for (const auto& [version, seen] : history.targets) {
+            const auto after = latest_set_after(seen);
             const auto age = after ? std::optional(now - *after) : std::nullopt;
-            told.push_back({model, version, age});
+            reports.push_back({model, version, age});
         }
     }
-    return told;
+    return reports;
 }
 
-bool wants_weights_dates(const entry_context& context) {
+bool needs_target_dates(const entry_context& context) {
     for (const auto& [model, history] : context.state.weights) {
-        if (!has_recent(context, history)) {
+        if (!has_recent_target(context, history)) {
             continue;
         }
         const auto held = oldest_held(context, model);
--- a/src/proxy/named_weights_tests.cpp
+++ b/src/proxy/weights_history_tests.cpp
@@ -1,4 +1,4 @@
-#include "proxy/named_weights.h"
+#include "proxy/weights_history.h"
 
 #include <catch2/catch.hpp>
 
@@ -17,20 +17,20 @@
 // had been outdated only since the start.
 TEST_CASE("weights found at the start are taken to be named long ago", "[proxy]") {
     proxy::weights_history history;
-    CHECK(proxy::note_named(history, 6, {{}, {}, at(20)}));
+    CHECK(proxy::record_target(history, 6, {{}, {}, at(20)}));
     CHECK(proxy::outdated_since(history, 5) < at(1));
-    CHECK_FALSE(proxy::note_named(history, 6, {at(40), {}, at(41)}));
+    CHECK_FALSE(proxy::record_target(history, 6, {at(40), {}, at(41)}));
     CHECK(proxy::outdated_since(history, 5) < at(1));
 
     SECTION("until an entry that went on living tells when it was") {
-        CHECK(proxy::note_told(history, 6, at(19), at(42)));
+        CHECK(proxy::record_reported_target(history, 6, at(19), at(42)));
         CHECK(proxy::outdated_since(history, 5) == at(19));
-        CHECK_FALSE(proxy::note_told(history, 6, at(18), at(42)));
-        CHECK_FALSE(proxy::note_told(history, 6, std::nullopt, at(42)));
+        CHECK_FALSE(proxy::record_reported_target(history, 6, at(18), at(42)));
+        CHECK_FALSE(proxy::record_reported_target(history, 6, std::nullopt, at(42)));
         CHECK(proxy::outdated_since(history, 5) == at(19));
     }
     SECTION("while what is named later is dated as usual") {
-        CHECK(proxy::note_named(history, 7, {at(50), {}, at(51)}));
+        CHECK(proxy::record_target(history, 7, {at(50), {}, at(51)}));
         CHECK(proxy::outdated_since(history, 6) == at(50));
     }
 }
@@ -40,17 +40,17 @@
 TEST_CASE("weights of unknown age are outdated for long also on a VM that has just started",
           "[proxy]") {
     proxy::weights_history history;
-    proxy::note_named(history, 6, {{}, {}, at(1)});
+    proxy::record_target(history, 6, {{}, {}, at(1)});
     CHECK(at(1) - proxy::outdated_since(history, 5) > std::chrono::hours(1));
 }
 
 TEST_CASE("weights are outdated since the first newer version was named", "[proxy]") {
     proxy::weights_history history;
-    CHECK(proxy::newest(history) == 0);
-    CHECK(proxy::note_named(history, 2, {at(2), {}, at(2)}));
-    CHECK(proxy::note_named(history, 3, {at(5), {}, at(5)}));
-    CHECK_FALSE(proxy::note_named(history, 3, {at(6), {}, at(6)}));
-    CHECK(proxy::newest(history) == 3);
+    CHECK(proxy::newest_version(history) == 0);
+    CHECK(proxy::record_target(history, 2, {at(2), {}, at(2)}));
+    CHECK(proxy::record_target(history, 3, {at(5), {}, at(5)}));
+    CHECK_FALSE(proxy::record_target(history, 3, {at(6), {}, at(6)}));
+    CHECK(proxy::newest_version(history) == 3);
     CHECK(proxy::outdated_since(history, 1) == at(2));
     CHECK(proxy::outdated_since(history, 2) == at(5));
     CHECK(proxy::outdated_since(history, 3) == base::instant::max());
@@ -58,27 +58,27 @@
 
 TEST_CASE("another entry's word dates a version more closely", "[proxy]") {
     proxy::weights_history history;
-    proxy::note_named(history, 2, {at(2), {}, at(9)});
+    proxy::record_target(history, 2, {at(2), {}, at(9)});
 
     SECTION("where this entry's own date is imprecise") {
         CHECK(proxy::is_imprecise(history, 1));
         CHECK_FALSE(proxy::is_imprecise(history, 2));
-        CHECK(proxy::note_told(history, 2, at(8), at(10)));
+        CHECK(proxy::record_reported_target(history, 2, at(8), at(10)));
         CHECK(proxy::outdated_since(history, 1) == at(8));
         CHECK_FALSE(proxy::is_imprecise(history, 1));
     }
     SECTION("and not where it is close already") {
-        proxy::note_named(history, 3, {at(11), {}, at(12)});
+        proxy::record_target(history, 3, {at(11), {}, at(12)});
         CHECK_FALSE(proxy::is_imprecise(history, 2));
-        CHECK_FALSE(proxy::note_told(history, 3, at(13), at(14)));
+        CHECK_FALSE(proxy::record_reported_target(history, 3, at(13), at(14)));
         CHECK(proxy::outdated_since(history, 2) == at(11));
     }
     // Guards against weights that are taken to be outdated since the second of two newer versions,
     // by an entry that was away for the first.
     SECTION("together with a version between that this entry has missed") {
-        proxy::note_named(history, 4, {at(12), {}, at(20)});
-        CHECK(proxy::note_told(history, 3, at(13), at(21)));
-        CHECK(proxy::note_told(history, 4, at(19), at(21)));
+        proxy::record_target(history, 4, {at(12), {}, at(20)});
+        CHECK(proxy::record_reported_target(history, 3, at(13), at(21)));
+        CHECK(proxy::record_reported_target(history, 4, at(19), at(21)));
         CHECK(proxy::outdated_since(history, 2) == at(13));
         CHECK(proxy::outdated_since(history, 3) == at(19));
     }
@@ -88,14 +88,14 @@
 // that this one has missed and does not know when it was named.
 TEST_CASE("an undated word of a missed version leaves a good date", "[proxy]") {
     proxy::weights_history history;
-    proxy::note_named(history, 3, {at(8), {}, at(13)});
-    CHECK(proxy::note_told(history, 2, std::nullopt, at(14)));
+    proxy::record_target(history, 3, {at(8), {}, at(13)});
+    CHECK(proxy::record_reported_target(history, 2, std::nullopt, at(14)));
     CHECK(proxy::outdated_since(history, 1) == at(8));
 
     SECTION("also where a later one was dated more closely before") {
-        proxy::note_named(history, 5, {at(15), {}, at(30)});
-        CHECK(proxy::note_told(history, 5, at(29), at(31)));
-        CHECK(proxy::note_told(history, 4, std::nullopt, at(31)));
+        proxy::record_target(history, 5, {at(15), {}, at(30)});
+        CHECK(proxy::record_reported_target(history, 5, at(29), at(31)));
+        CHECK(proxy::record_reported_target(history, 4, std::nullopt, at(31)));
         CHECK(proxy::outdated_since(history, 3) == at(15));
         CHECK(proxy::outdated_since(history, 4) == at(29));
     }
@@ -104,16 +104,16 @@
 TEST_CASE("replaced versions are forgotten once nothing may begin on them", "[proxy]") {
     proxy::weights_history history;
     for (int version = 2; version < 6; ++version) {
-        proxy::note_named(history, version, {at(version * 10), {}, at(version * 10)});
+        proxy::record_target(history, version, {at(version * 10), {}, at(version * 10)});
     }
-    proxy::forget_replaced(history, at(51), base::seconds(5));
-    CHECK(history.named.size() == 2);
+    proxy::prune_superseded(history, at(51), base::seconds(5));
+    CHECK(history.targets.size() == 2);
     CHECK(proxy::outdated_since(history, 1) == at(40));
     CHECK(proxy::outdated_since(history, 3) == at(40));
     CHECK(proxy::outdated_since(history, 4) == at(50));
     CHECK(proxy::any_learned_within(history, at(51), base::seconds(5)));
-    proxy::forget_replaced(history, at(90), base::seconds(5));
-    CHECK(history.named.size() == 1);
-    CHECK(proxy::newest(history) == 5);
+    proxy::prune_superseded(history, at(90), base::seconds(5));
+    CHECK(history.targets.size() == 1);
+    CHECK(proxy::newest_version(history) == 5);
     CHECK_FALSE(proxy::any_learned_within(history, at(90), base::seconds(5)));
 }
--- a/tests/proxy_world.cpp
+++ b/tests/proxy_world.cpp
@@ -211,7 +211,9 @@
               [this](const base::upstream_instance& upstream) {
                   this->told.emplace_back(peering::upstream_draining{upstream});
               },
-              [this](const proxy::broken_attempt& broken) { this->crashes.note_broken(broken); }},
+              [this](const proxy::broken_attempt& broken) {
+                  this->crashes.record_broken_attempt(broken);
+              }},
       crashes(this->context),
       server(this->loop.base(),
              {[this](const proxy::exchange_ptr& exchange) {
@@ -223,8 +225,10 @@
                   flow->begin();
               },
               [] { return proxy::caller_bounds{}; }, this->context.now, [](int) {}}) {
-    this->crashes.tell = [this](const peering::message& message) { this->told.push_back(message); };
-    this->crashes.held_back = [this](const quarantine::hold& held, bool) {
+    this->crashes.broadcast = [this](const peering::message& message) {
+        this->told.push_back(message);
+    };
+    this->crashes.hold_started = [this](const quarantine::hold& held, bool) {
         const auto under_way = this->flows;
         for (const auto& flow : under_way) {
             flow->call_off(held);
--- a/tests/proxy_world.h
+++ b/tests/proxy_world.h
@@ -2,7 +2,7 @@
 
 #include "platform/dialect.h"
 #include "proxy/caller_server.h"
-#include "proxy/crash_watch.h"
+#include "proxy/crash_detector.h"
 #include "proxy/request_flow.h"
 
 #include <functional>
@@ -126,7 +126,7 @@
     void stop_clock() { this->stopped_at = adapters::boot_now(); }
     void prove_config();
     proxy::entry_context& entry() { return this->context; }
-    proxy::crash_watch& crash_watch() { return this->crashes; }
+    proxy::crash_detector& crash_detector() { return this->crashes; }
     // What the entry has told others.
     std::vector<peering::message> told;
 
@@ -146,7 +146,7 @@
     adapters::metrics metrics;
     proxy::connection_pool connections;
     proxy::entry_context context;
-    proxy::crash_watch crashes;
+    proxy::crash_detector crashes;
     proxy::caller_server server;
     std::unordered_set<std::shared_ptr<proxy::request_flow>> flows;
     std::vector<std::unique_ptr<scripted_engine>> engines;
