--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -128,7 +128,7 @@
     };
     send(false);
     REQUIRE(peer.tick_until([&] { return fleet::is_suspected(service, now()); }));
-    CHECK(proxy::count_pool(peer.world.entry(), service.listed.pool).suspected == 1);
+    CHECK(proxy::count_upstreams(peer.world.entry(), service.listed.pool).suspected == 1);
     CHECK(proxy::choose_upstream(peer.world.entry(), {.pool = service.listed.pool}));
     send(true);
     REQUIRE(peer.tick_until([&] { return service.busy_until > now(); }));
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -86,14 +86,14 @@
       kv_stores(this->context, [this] { return this->peer_entries.connected_entries(); }) {}
 
 bool proxy::listen() {
-    this->callers = std::make_unique<caller_server>(
+    this->frontend = std::make_unique<frontend_server>(
         this->loop.base(),
-        caller_handler{
+        frontend_callbacks{
             [this](const exchange_ptr& exchange) { this->on_request(exchange); },
             [this] {
                 const auto limits = this->state.config == nullptr ? routes::caller_limits{}
                                                                   : this->state.config->limits;
-                return caller_bounds{{static_cast<std::uint32_t>(limits.head_bytes),
+                return client_limits{{static_cast<std::uint32_t>(limits.head_bytes),
                                       static_cast<std::uint64_t>(limits.body_bytes)},
                                      limits.head_timeout,
                                      limits.idle_timeout};
@@ -106,7 +106,7 @@
             }});
     this->serve_operators_and_balancer();
     const std::pair<const char*, bool> listened[] = {
-        {"listen", this->callers->listen(this->settings.listen)},
+        {"listen", this->frontend->listen(this->settings.listen)},
         {"ready_listen", this->balancer->listen(this->settings.ready_listen)},
         {"peer_listen", this->peer_entries.listen()},
         {"operators_listen", this->operators->listen(this->settings.operators_listen)}};
@@ -122,18 +122,18 @@
 void proxy::apply_descriptor_limits() {
     const std::size_t limit = adapters::descriptor_limit();
     const auto shares = share_descriptors(limit);
-    this->callers->limit_connections(shares.callers);
+    this->frontend->limit_connections(shares.clients);
     this->connections.limit_idle(shares.idle_upstreams);
     this->log.line(importance::keep, "descriptors_shared")
         .number("limit", static_cast<std::int64_t>(limit))
-        .number("most_callers", static_cast<std::int64_t>(shares.callers))
+        .number("most_callers", static_cast<std::int64_t>(shares.clients))
         .number("most_idle_upstreams", static_cast<std::int64_t>(shares.idle_upstreams))
         .number("reserve", static_cast<std::int64_t>(shares.reserve));
 }
 
-accepting_view proxy::view_accepting() const {
-    return {this->callers->paused(), this->callers->pauses(), this->callers->open_connections(),
-            this->callers->most_connections()};
+accept_status proxy::current_accept_status() const {
+    return {this->frontend->paused(), this->frontend->pauses(), this->frontend->open_connections(),
+            this->frontend->max_connections()};
 }
 
 void proxy::serve_operators_and_balancer() {
@@ -251,7 +251,7 @@
     // Those that are called off end, and leave the list.
     const auto in_flight = this->flows;
     for (const auto& [number, flow] : in_flight) {
-        flow->call_off(hold);
+        flow->cancel_if_quarantined(hold);
     }
 }
 
@@ -270,7 +270,7 @@
     this->flows.emplace(number, flow);
     flow->on_end = [this, number] {
         this->flows.erase(number);
-        this->advance_shutdown();
+        this->continue_shutdown();
     };
     flow->begin();
 }
@@ -290,9 +290,10 @@
 
 void proxy::tick() {
     this->log_readiness();
-    note_accepting(this->accepting, this->view_accepting(), this->context.now(), this->log);
-    this->advance_shutdown();
-    this->connections.sweep();
+    log_accept_pauses(this->accepting, this->current_accept_status(), this->context.now(),
+                      this->log);
+    this->continue_shutdown();
+    this->connections.close_expired();
     this->crashes.tick();
     this->hold_records.tick();
     this->peer_entries.tick();
@@ -349,40 +350,40 @@
         return;
     }
     this->state.stopping = true;
-    this->shutdown.begun_at = this->context.now();
+    this->shutdown.started_at = this->context.now();
     this->log.line(importance::keep, "stop")
         .number("flows", static_cast<std::int64_t>(this->flows.size()));
     this->log_readiness();
-    this->callers->close_after_answers();
+    this->frontend->close_after_responses();
     this->peer_entries.deregister();
     const shutdown_rules rules;
-    this->loop.after(rules.balancer_notices, [this] { this->advance_shutdown(); });
+    this->loop.after(rules.balancer_detection_time, [this] { this->continue_shutdown(); });
     this->loop.after(this->settings.bounds.grace - exit_margin - rules.resign_time,
                      [this] { this->leader.resign(); });
     this->loop.after(this->settings.bounds.grace - exit_margin, [this] {
         const auto left = this->flows;
         for (const auto& [number, flow] : left) {
-            flow->break_off();
+            flow->abort_for_shutdown();
         }
         this->loop.stop();
     });
 }
 
-void proxy::advance_shutdown() {
+void proxy::continue_shutdown() {
     const shutdown_rules rules;
     while (true) {
-        const auto step =
-            next_step(this->shutdown,
-                      {this->context.now(), this->flows.size(), this->callers->unsent()}, rules);
+        const auto step = advance_shutdown(
+            this->shutdown, {this->context.now(), this->flows.size(), this->frontend->unsent()},
+            rules);
         switch (step) {
-        case shutdown_step::stop_taking:
-            this->callers->stop();
+        case shutdown_step::stop_accepting:
+            this->frontend->stop();
             break;
         case shutdown_step::resign:
             // An entry that leads goes on doing so until now: in a rolling restart the next one is
             // stopped soon too.
             this->leader.resign();
-            this->loop.after(rules.resign_time, [this] { this->advance_shutdown(); });
+            this->loop.after(rules.resign_time, [this] { this->continue_shutdown(); });
             break;
         case shutdown_step::exit:
             this->loop.stop();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -6,10 +6,10 @@
 #include "adapters/metrics.h"
 #include "adapters/platform_budget.h"
 #include "adapters/timeline.h"
-#include "proxy/caller_server.h"
 #include "proxy/context.h"
 #include "proxy/crash_detector.h"
 #include "proxy/descriptors.h"
+#include "proxy/frontend_server.h"
 #include "proxy/kv_store_follower.h"
 #include "proxy/leadership.h"
 #include "proxy/peers.h"
@@ -68,11 +68,11 @@
     void tick();
     void reload(const char* why);
     void stop();
-    void advance_shutdown();
+    void continue_shutdown();
     [[nodiscard]] bool ready() const;
     void log_readiness();
     void apply_descriptor_limits();
-    [[nodiscard]] accepting_view view_accepting() const;
+    [[nodiscard]] accept_status current_accept_status() const;
     [[nodiscard]] nlohmann::json status() const;
     void refresh_metrics();
     void refresh_weights_metric();
@@ -99,7 +99,7 @@
     crash_detector crashes;
     quarantine_records hold_records;
     kv_store_follower kv_stores;
-    std::unique_ptr<caller_server> callers;
+    std::unique_ptr<frontend_server> frontend;
     std::unique_ptr<adapters::http_server> balancer;
     std::unique_ptr<adapters::http_server> operators;
     // By number, so that they are gone through in the order of their arrival.
@@ -107,7 +107,7 @@
     std::int64_t last_flow = 0;
     shutdown_state shutdown;
     bool was_ready = false;
-    accepting_notes accepting;
+    accept_log_state accepting;
     // Entries of the platform's list that could not be read, as last logged.
     std::map<base::upstream_id, std::int64_t> unreadable_upstreams;
     // Listed upstreams whose address another one has taken, as last logged.
--- a/src/proxy/proxy_store_updates.cpp
+++ b/src/proxy/proxy_store_updates.cpp
@@ -129,7 +129,7 @@
     this->unreadable_upstreams = list.unreadable;
     for (const auto& [id, by] : list.replaced) {
         fleet::mark_replaced(this->state.fleet, id);
-        this->connections.forget(id);
+        this->connections.close_idle(id);
         if (this->replaced_upstreams.count(id) == 0) {
             this->log.line(importance::keep, "upstream_replaced")
                 .text("upstream", id.value)
@@ -167,7 +167,7 @@
         kvcache::forget_reader(this->state.cache, id);
     }
     for (const auto& id : change.removed) {
-        this->connections.forget(id);
+        this->connections.close_idle(id);
         kvcache::forget_reader(this->state.cache, id);
     }
 }
--- a/tests/proxy_world.cpp
+++ b/tests/proxy_world.cpp
@@ -224,14 +224,14 @@
                   };
                   flow->begin();
               },
-              [] { return proxy::caller_bounds{}; }, this->context.now, [](int) {}}) {
+              [] { return proxy::client_limits{}; }, this->context.now, [](int) {}}) {
     this->crashes.broadcast = [this](const peering::message& message) {
         this->told.push_back(message);
     };
     this->crashes.hold_started = [this](const quarantine::hold& held, bool) {
         const auto under_way = this->flows;
         for (const auto& flow : under_way) {
-            flow->call_off(held);
+            flow->cancel_if_quarantined(held);
         }
     };
     this->settings.peer_listen = own_address(18994);
