--- a/src/proxy/crash_detector.cpp
+++ b/src/proxy/crash_detector.cpp
@@ -86,7 +86,7 @@
 void crash_detector::add_victims(const base::upstream_instance& upstream, base::instant at,
                                  const std::vector<quarantine::crash_victim>& victims) {
     const quarantine::crash_report report{upstream, at, victims};
-    quarantine::note_crash(this->context.state.quarantine, report, this->context.now(), {});
+    quarantine::record_crash(this->context.state.quarantine, report, this->context.now(), {});
     auto& pending = this->unreported[upstream];
     pending.upstream = upstream;
     pending.at = at;
@@ -111,7 +111,7 @@
                              base::instant written) {
     const base::instant now = this->context.now();
     const auto report = peering::from_message(message, written);
-    quarantine::note_crash(this->context.state.quarantine, report, now, {});
+    quarantine::record_crash(this->context.state.quarantine, report, now, {});
     this->context.log.line(importance::keep, "upstream_crash_told")
         .text("upstream", message.upstream.id.value)
         .text("entry", from.value)
@@ -121,48 +121,54 @@
 
 void crash_detector::receive(const base::entry_id& from, const peering::quarantine_notice& message,
                              base::instant written) {
-    const base::micros max_span = quarantine::quarantine_rules{}.longest_hold;
+    const base::micros max_span = quarantine::quarantine_rules{}.max_duration;
     const base::micros left = message.remaining - (this->context.now() - written);
     const bool is_valid = left > base::micros(0) && message.remaining <= max_span;
     if (is_valid) {
-        this->apply_hold({message.request, left, 0}, from.value.c_str());
+        this->apply_quarantine({message.request, left, 0}, from.value.c_str());
     }
 }
 
-void crash_detector::restore_hold(const quarantine::hold& recorded) {
-    auto hold = recorded;
-    hold.end_unknown = true;
-    this->apply_hold(hold, "store");
+void crash_detector::restore_quarantine(const quarantine::quarantined_request& recorded) {
+    auto quarantined = recorded;
+    quarantined.end_unknown = true;
+    this->apply_quarantine(quarantined, "store");
 }
 
-void crash_detector::apply_hold(const quarantine::hold& hold, const char* source) {
+void crash_detector::apply_quarantine(const quarantine::quarantined_request& quarantined,
+                                      const char* source) {
     auto& state = this->context.state.quarantine;
     const base::instant now = this->context.now();
-    const auto digest = hold.request.digest;
-    const bool known = quarantine::judge(state, digest, now, {}).what == quarantine::verdict::held;
-    const auto apply = hold.end_unknown ? quarantine::hold_by_record : quarantine::hold_back;
-    apply(state, hold.request, hold.span, now, {});
+    const auto digest = quarantined.request.digest;
+    const bool known =
+        quarantine::evaluate(state, digest, now, {}).what == quarantine::verdict::quarantined;
+    const auto apply =
+        quarantined.end_unknown ? quarantine::impose_from_record : quarantine::impose;
+    apply(state, quarantined.request, quarantined.span, now, {});
     if (!known) {
-        this->log_hold(hold, source);
-        this->hold_started(hold, false);
+        this->log_quarantine(quarantined, source);
+        this->quarantine_started(quarantined, false);
     }
 }
 
-void crash_detector::log_hold(const quarantine::hold& hold, const char* source) {
+void crash_detector::log_quarantine(const quarantine::quarantined_request& quarantined,
+                                    const char* source) {
     this->context.log.line(importance::keep, "request_quarantined")
-        .text("digest", hold.request.digest.value)
-        .number("body_bytes", static_cast<std::int64_t>(hold.request.body_bytes))
-        .number("crashes", static_cast<std::int64_t>(hold.crashes))
-        .span("for_ms", hold.span)
+        .text("digest", quarantined.request.digest.value)
+        .number("body_bytes", static_cast<std::int64_t>(quarantined.request.body_bytes))
+        .number("crashes", static_cast<std::int64_t>(quarantined.crashes))
+        .span("for_ms", quarantined.span)
         .text("told_by", source);
 }
 
 std::vector<peering::message> crash_detector::initial_messages() const {
     std::vector<peering::message> all;
-    for (const auto& hold : quarantine::held(this->context.state.quarantine, this->context.now())) {
-        if (!hold.end_unknown) {
+    for (const auto& quarantined :
+         quarantine::quarantined_requests(this->context.state.quarantine, this->context.now())) {
+        if (!quarantined.end_unknown) {
             all.emplace_back(peering::quarantine_notice{
-                hold.request, std::chrono::duration_cast<base::milliseconds>(hold.span)});
+                quarantined.request,
+                std::chrono::duration_cast<base::milliseconds>(quarantined.span)});
         }
     }
     return all;
@@ -175,12 +181,12 @@
         return now - each.second.first_at > broken_upstream_ttl;
     });
     auto& state = this->context.state.quarantine;
-    for (const auto& hold : quarantine::take_decisions(state, now, {})) {
-        this->log_hold(hold, "");
+    for (const auto& quarantined : quarantine::decide_quarantines(state, now, {})) {
+        this->log_quarantine(quarantined, "");
         this->context.metrics.count("camphorrail_requests_quarantined_total");
         this->broadcast(peering::quarantine_notice{
-            hold.request, std::chrono::duration_cast<base::milliseconds>(hold.span)});
-        this->hold_started(hold, true);
+            quarantined.request, std::chrono::duration_cast<base::milliseconds>(quarantined.span)});
+        this->quarantine_started(quarantined, true);
     }
     quarantine::expire(state, now, {});
 }
--- a/src/proxy/crash_detector.h
+++ b/src/proxy/crash_detector.h
@@ -33,7 +33,7 @@
     void receive(const base::entry_id& from, const peering::quarantine_notice& message,
                  base::instant written);
     // A hold that stands in the platform's store.
-    void restore_hold(const quarantine::hold& recorded);
+    void restore_quarantine(const quarantine::quarantined_request& recorded);
     // What an entry is told that has just linked: all holds whose end is known.
     [[nodiscard]] std::vector<peering::message> initial_messages() const;
     void tick();
@@ -41,7 +41,8 @@
     // Tells the other entries.
     std::function<void(const peering::message&)> broadcast;
     // A request is held back from now on; `decided_here`: by this entry and not on another's word.
-    std::function<void(const quarantine::hold&, bool decided_here)> hold_started;
+    std::function<void(const quarantine::quarantined_request&, bool decided_here)>
+        quarantine_started;
 
 private:
     // What has broken at one upstream, in one of its lives.
@@ -59,8 +60,8 @@
     void add_victims(const base::upstream_instance& upstream, base::instant at,
                      const std::vector<quarantine::crash_victim>& victims);
     void broadcast_crashes();
-    void apply_hold(const quarantine::hold& hold, const char* source);
-    void log_hold(const quarantine::hold& hold, const char* source);
+    void apply_quarantine(const quarantine::quarantined_request& quarantined, const char* source);
+    void log_quarantine(const quarantine::quarantined_request& quarantined, const char* source);
 
     entry_context& context;
     std::map<base::upstream_instance, broken_upstream> broken_upstreams;
--- a/src/proxy/crash_detector_tests.cpp
+++ b/src/proxy/crash_detector_tests.cpp
@@ -114,7 +114,7 @@
           "[proxy][quarantine]") {
     tests::proxy_world world;
     world.config.teams.push_back({.id = {"south"}, .keys = {"k2"}});
-    routes::index(world.config);
+    routes::build_indexes(world.config);
     world.prove_config();
     world.add_engine("i-1", [](const engine_request& got) {
         return engine_script{{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
@@ -136,10 +136,11 @@
     tests::proxy_world world;
     world.stop_clock();
     const auto identity = quarantine::identify({"/safe/x", "north", "same bytes"});
-    const quarantine::hold written{identity, base::minutes(10), 2};
+    const quarantine::quarantined_request written{identity, base::minutes(10), 2};
     const auto is_held = [&] {
-        return quarantine::judge(world.state.quarantine, identity.digest, world.entry().now(), {})
-                   .what == quarantine::verdict::held;
+        return quarantine::evaluate(world.state.quarantine, identity.digest, world.entry().now(),
+                                    {})
+                   .what == quarantine::verdict::quarantined;
     };
     const auto wait = [&world](base::micros span) {
         world.move_clock(span);
@@ -147,7 +148,7 @@
     };
 
     SECTION("it holds") {
-        world.crash_detector().restore_hold(written);
+        world.crash_detector().restore_quarantine(written);
         CHECK(is_held());
         wait(base::minutes(9));
         CHECK(is_held());
@@ -155,20 +156,20 @@
         CHECK_FALSE(is_held());
     }
     SECTION("nobody is told of an end that is not known") {
-        world.crash_detector().restore_hold(written);
+        world.crash_detector().restore_quarantine(written);
         CHECK(world.crash_detector().initial_messages().empty());
     }
     SECTION("another entry's word of its end counts") {
         const bool notice_first = GENERATE(true, false);
         CAPTURE(notice_first);
         if (!notice_first) {
-            world.crash_detector().restore_hold(written);
+            world.crash_detector().restore_quarantine(written);
         }
         world.crash_detector().receive({"entry-2"},
                                        peering::quarantine_notice{identity, base::minutes(1)},
                                        world.entry().now());
         if (notice_first) {
-            world.crash_detector().restore_hold(written);
+            world.crash_detector().restore_quarantine(written);
         }
         CHECK(is_held());
         REQUIRE(world.crash_detector().initial_messages().size() == 1);
@@ -182,7 +183,7 @@
         world.crash_detector().receive({"entry-2"},
                                        peering::quarantine_notice{identity, base::minutes(20)},
                                        world.entry().now());
-        world.crash_detector().restore_hold(written);
+        world.crash_detector().restore_quarantine(written);
         wait(base::minutes(19));
         CHECK(is_held());
     }
@@ -339,8 +340,8 @@
     const auto suspect = quarantine::identify({"/safe/x", "north", "suspect"});
     const auto other = quarantine::identify({"/safe/x", "north", "another"});
     const base::instant now = world.entry().now();
-    quarantine::note_crash(world.state.quarantine,
-                           {{{"i-9"}, {}}, now, {{suspect, now, {}}, {other, now, {}}}}, now, {});
+    quarantine::record_crash(world.state.quarantine,
+                             {{{"i-9"}, {}}, now, {{suspect, now, {}}, {other, now, {}}}}, now, {});
     quarantine::begin_trial(world.state.quarantine, other.digest, {"i-5"}, now, {});
     CHECK(world.call(tests::request("safe", "r1", "harmless")).heads.at(0).status == 200);
     CHECK(engines[0]->requests.size() == 1);
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -21,8 +21,9 @@
 constexpr base::milliseconds heartbeat_period{150};
 
 bool same_work(const fleet::workload& left, const fleet::workload& right) {
-    return left.in_flight == right.in_flight && left.unread_tokens == right.unread_tokens &&
-           left.held_tokens == right.held_tokens && left.unrepeatable == right.unrepeatable &&
+    return left.in_flight == right.in_flight &&
+           left.pending_prefill_tokens == right.pending_prefill_tokens &&
+           left.kv_tokens == right.kv_tokens && left.non_retryable == right.non_retryable &&
            left.short_prompts == right.short_prompts;
 }
 
@@ -76,7 +77,7 @@
     load.reads = std::exchange(this->context.state.unreported_reads, {});
     auto& quotas = this->context.state.quotas;
     load.uptime = std::chrono::duration_cast<base::milliseconds>(quota::uptime(quotas, now));
-    load.usage = quota::collect(quotas, now, quota_rules_of(this->context.settings));
+    load.usage = quota::collect_counts(quotas, now, quota_rules_of(this->context.settings));
     return load;
 }
 
@@ -133,8 +134,8 @@
     const base::instant now = this->context.now();
     const base::instant until = now + std::max(load.report_interval * expiry_periods, min_expiry);
     auto& state = this->context.state;
-    quota::take_report(state.quotas, {load.from, load.age, load.uptime, load.usage}, now,
-                       quota_rules_of(this->context.settings));
+    quota::apply_report(state.quotas, {load.from, load.age, load.uptime, load.usage}, now,
+                        quota_rules_of(this->context.settings));
     if (load.complete) {
         for (auto& [id, member] : state.fleet.members) {
             member.remote_work.erase(load.from);
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -143,7 +143,7 @@
     peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     auto& engine = peer.world.state.fleet.members.at({"engine"});
     engine.listed.incarnation = {200};
-    peer.world.config.pools.at({"pool"}).engine_tokens = 100000;
+    peer.world.config.pools.at({"pool"}).kv_capacity_tokens = 100000;
     peer.world.prove_config();
     REQUIRE(peer.tick_until([&] { return peer.other && !peer.received_messages.empty(); }));
     constexpr std::uint64_t prompt = 9;
@@ -245,7 +245,7 @@
 
     void record_local_loss(const base::upstream_instance& of, const std::string& body) {
         const auto report = this->loss(of, body);
-        quarantine::note_crash(this->world.state.quarantine, report, report.at, {});
+        quarantine::record_crash(this->world.state.quarantine, report, report.at, {});
     }
 
     void report_remote_loss(const base::upstream_instance& of, const std::string& body,
@@ -255,10 +255,10 @@
         this->send_delayed(peering::to_message(report, this->world.entry().now()), delay);
     }
 
-    std::size_t count_holds_later() {
+    std::size_t count_quarantined_later() {
         this->world.move_clock(base::milliseconds(400));
-        return quarantine::take_decisions(this->world.state.quarantine, this->world.entry().now(),
-                                          {})
+        return quarantine::decide_quarantines(this->world.state.quarantine,
+                                              this->world.entry().now(), {})
             .size();
     }
 };
@@ -273,7 +273,7 @@
     peer.record_local_loss(first_engine, "popular");
     peer.report_remote_loss(second_engine, "popular", base::milliseconds(delay));
     REQUIRE(peer.reports_received == 1);
-    CHECK(peer.count_holds_later() == 0);
+    CHECK(peer.count_quarantined_later() == 0);
 }
 
 // Guards against not holding a fatal request that is told of after others at the same crash.
@@ -286,7 +286,7 @@
     peer.record_local_loss(second_engine, "bystander");
     peer.report_remote_loss(second_engine, "fatal", base::milliseconds(delay));
     REQUIRE(peer.reports_received == 1);
-    CHECK(peer.count_holds_later() == 1);
+    CHECK(peer.count_quarantined_later() == 1);
 }
 
 // Guards against shunned engines and refused requests for as long again as a word lay unread.
@@ -311,7 +311,8 @@
     SECTION("a hold") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
         peer.send_delayed(peering::quarantine_notice{request, base::minutes(1)}, delay);
-        const auto held = quarantine::held(peer.world.state.quarantine, peer.world.entry().now());
+        const auto held =
+            quarantine::quarantined_requests(peer.world.state.quarantine, peer.world.entry().now());
         REQUIRE(held.size() == 1);
         CHECK(held[0].span == base::minutes(1) - delay);
     }
@@ -319,7 +320,9 @@
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
         peer.send_delayed(peering::quarantine_notice{request, base::milliseconds(500)}, delay);
         REQUIRE(peer.reports_received == 1);
-        CHECK(quarantine::held(peer.world.state.quarantine, peer.world.entry().now()).empty());
+        CHECK(
+            quarantine::quarantined_requests(peer.world.state.quarantine, peer.world.entry().now())
+                .empty());
     }
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -81,8 +81,8 @@
                              [this] { return this->leader.name(); },
                              [this] { return this->leader.fencing_token(); }}),
       peer_entries(this->context, this->store_calls), crashes(this->context),
-      hold_records(this->context, this->store_calls,
-                   [this] { return this->leader.fencing_token() != 0; }),
+      quarantine_store(this->context, this->store_calls,
+                       [this] { return this->leader.fencing_token() != 0; }),
       kv_stores(this->context, [this] { return this->peer_entries.connected_entries(); }) {}
 
 bool proxy::listen() {
@@ -91,11 +91,11 @@
         frontend_callbacks{
             [this](const exchange_ptr& exchange) { this->on_request(exchange); },
             [this] {
-                const auto limits = this->state.config == nullptr ? routes::caller_limits{}
+                const auto limits = this->state.config == nullptr ? routes::client_limits{}
                                                                   : this->state.config->limits;
-                return client_limits{{static_cast<std::uint32_t>(limits.head_bytes),
+                return client_limits{{static_cast<std::uint32_t>(limits.header_bytes),
                                       static_cast<std::uint64_t>(limits.body_bytes)},
-                                     limits.head_timeout,
+                                     limits.header_timeout,
                                      limits.idle_timeout};
             },
             adapters::boot_now,
@@ -233,8 +233,9 @@
     this->crashes.broadcast = [this](const peering::message& message) {
         this->peer_entries.broadcast(message);
     };
-    this->crashes.hold_started = [this](const quarantine::hold& hold, bool decided_here) {
-        this->on_hold_started(hold, decided_here);
+    this->crashes.quarantine_started = [this](const quarantine::quarantined_request& quarantined,
+                                              bool decided_here) {
+        this->on_quarantine_started(quarantined, decided_here);
     };
     this->peer_entries.crash_report_received =
         [this](const base::entry_id& from, const peering::crash_report& told,
@@ -244,14 +245,15 @@
                base::instant written) { this->crashes.receive(from, told, written); };
 }
 
-void proxy::on_hold_started(const quarantine::hold& hold, bool decided_here) {
+void proxy::on_quarantine_started(const quarantine::quarantined_request& quarantined,
+                                  bool decided_here) {
     if (decided_here) {
-        this->hold_records.add(hold);
+        this->quarantine_store.add(quarantined);
     }
     // Those that are called off end, and leave the list.
     const auto in_flight = this->flows;
     for (const auto& [number, flow] : in_flight) {
-        flow->cancel_if_quarantined(hold);
+        flow->cancel_if_quarantined(quarantined);
     }
 }
 
@@ -295,7 +297,7 @@
     this->continue_shutdown();
     this->connections.close_expired();
     this->crashes.tick();
-    this->hold_records.tick();
+    this->quarantine_store.tick();
     this->peer_entries.tick();
     this->update_quota_entries();
     this->store.tick();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -60,7 +60,8 @@
     void prune_prompt_sizes();
     void apply_upstream_list(const char* source);
     void assign_lanes();
-    void on_hold_started(const quarantine::hold& hold, bool decided_here);
+    void on_quarantine_started(const quarantine::quarantined_request& quarantined,
+                               bool decided_here);
     void set_retry_budgets();
     // Takes who is listed and who is heard, which decides what of the quotas entries may give out.
     void update_quota_entries();
@@ -97,7 +98,7 @@
     weights_loader loader;
     peers peer_entries;
     crash_detector crashes;
-    quarantine_records hold_records;
+    quarantine_records quarantine_store;
     kv_store_follower kv_stores;
     std::unique_ptr<frontend_server> frontend;
     std::unique_ptr<adapters::http_server> balancer;
--- a/src/proxy/quarantine_records.cpp
+++ b/src/proxy/quarantine_records.cpp
@@ -16,15 +16,16 @@
 // The platform's store is shared. More requests than this are held back by the entries alone.
 constexpr std::size_t max_records = 64;
 
-std::string encode_record(const quarantine::hold& hold) {
-    const auto span = std::chrono::duration_cast<base::milliseconds>(hold.span);
-    return json{{"body_bytes", hold.request.body_bytes},
+std::string encode_record(const quarantine::quarantined_request& quarantined) {
+    const auto span = std::chrono::duration_cast<base::milliseconds>(quarantined.span);
+    return json{{"body_bytes", quarantined.request.body_bytes},
                 {"hold_ms", span.count()},
-                {"crashes", hold.crashes}}
+                {"crashes", quarantined.crashes}}
         .dump();
 }
 
-std::optional<quarantine::hold> parse_record(const std::string& digest, const std::string& text) {
+std::optional<quarantine::quarantined_request> parse_record(const std::string& digest,
+                                                            const std::string& text) {
     const json read = json::parse(text, nullptr, false);
     const bool fits = read.is_object() && read.contains("body_bytes") &&
                       read["body_bytes"].is_number_unsigned() && read.contains("hold_ms") &&
@@ -33,9 +34,9 @@
     if (!fits) {
         return std::nullopt;
     }
-    return quarantine::hold{{{digest}, read["body_bytes"].get<std::size_t>()},
-                            base::milliseconds(read["hold_ms"].get<std::uint32_t>()),
-                            read["crashes"].get<std::size_t>()};
+    return quarantine::quarantined_request{{{digest}, read["body_bytes"].get<std::size_t>()},
+                                           base::milliseconds(read["hold_ms"].get<std::uint32_t>()),
+                                           read["crashes"].get<std::size_t>()};
 }
 
 } // namespace
@@ -48,13 +49,14 @@
     return this->context.codec.own_prefix + "quarantine/";
 }
 
-void quarantine_records::add(const quarantine::hold& hold) {
-    this->unwritten[hold.request.digest] = hold;
+void quarantine_records::add(const quarantine::quarantined_request& quarantined) {
+    this->unwritten[quarantined.request.digest] = quarantined;
     this->tick();
 }
 
-std::vector<quarantine::hold> quarantine_records::read(const std::set<std::string>& keys) const {
-    std::vector<quarantine::hold> found;
+std::vector<quarantine::quarantined_request>
+quarantine_records::read(const std::set<std::string>& keys) const {
+    std::vector<quarantine::quarantined_request> found;
     const std::string below = this->prefix();
     for (const auto& key : keys) {
         const auto item = this->context.state.store.items.find(key);
@@ -83,8 +85,8 @@
 }
 
 bool quarantine_records::is_held(const base::request_digest& request) const {
-    return quarantine::judge(this->context.state.quarantine, request, this->context.now(), {})
-               .what == quarantine::verdict::held;
+    return quarantine::evaluate(this->context.state.quarantine, request, this->context.now(), {})
+               .what == quarantine::verdict::quarantined;
 }
 
 void quarantine_records::write_next() {
--- a/src/proxy/quarantine_records_tests.cpp
+++ b/src/proxy/quarantine_records_tests.cpp
@@ -46,8 +46,8 @@
     }
 };
 
-const quarantine::hold fatal{quarantine::identify({"/desk", "north", "fatal"}), base::minutes(10),
-                             2};
+const quarantine::quarantined_request fatal{quarantine::identify({"/desk", "north", "fatal"}),
+                                            base::minutes(10), 2};
 
 std::set<std::string> all_keys(const tests::proxy_world& world) {
     std::set<std::string> keys;
@@ -68,7 +68,7 @@
     proxy::quarantine_records records(world.entry(), store.calls_to(),
                                       [&is_leader] { return is_leader; });
     const base::instant now = world.entry().now();
-    quarantine::hold_back(world.state.quarantine, fatal.request, fatal.span, now, {});
+    quarantine::impose(world.state.quarantine, fatal.request, fatal.span, now, {});
     records.add(fatal);
     CHECK(store.calls == 1);
     const auto written = records.read(all_keys(world));
@@ -105,8 +105,7 @@
     tests::proxy_world world;
     fake_store store{world.state.store};
     proxy::quarantine_records records(world.entry(), store.calls_to(), [] { return false; });
-    quarantine::hold_back(world.state.quarantine, fatal.request, fatal.span, world.entry().now(),
-                          {});
+    quarantine::impose(world.state.quarantine, fatal.request, fatal.span, world.entry().now(), {});
     store.unavailable = true;
     records.add(fatal);
     records.tick();
--- a/src/proxy/request_quarantine.cpp
+++ b/src/proxy/request_quarantine.cpp
@@ -32,32 +32,33 @@
     if (!quarantine::may_be_suspect(known, this->exchange->body.size())) {
         return false;
     }
-    const auto judged = quarantine::judge(known, this->identity().digest, this->context.now(), {});
+    const auto judged =
+        quarantine::evaluate(known, this->identity().digest, this->context.now(), {});
     this->criteria.suspect = judged.what == quarantine::verdict::trial;
-    if (judged.what == quarantine::verdict::free || this->criteria.suspect) {
+    if (judged.what == quarantine::verdict::allowed || this->criteria.suspect) {
         return false;
     }
-    const bool held = judged.what == quarantine::verdict::held;
+    const bool held = judged.what == quarantine::verdict::quarantined;
     const auto number = held ? base::code::quarantined : base::code::suspect_tried;
     const char* reason = held ? "quarantined" : "suspect_tried";
     this->context.log.line(importance::keep, "kept_from_upstreams")
         .text("request", this->metadata.request_id)
         .text("digest", this->identity().digest.value)
         .text("why", reason)
-        .span("left_ms", judged.left);
+        .span("left_ms", judged.retry_after);
     this->fail_request(reason, number, base::code::upstream_failed,
-                       held ? std::chrono::ceil<milliseconds>(judged.left) : trial_delay);
+                       held ? std::chrono::ceil<milliseconds>(judged.retry_after) : trial_delay);
     return true;
 }
 
 void request_flow::clear_suspicion() {
     auto& known = this->context.state.quarantine;
     if (quarantine::may_be_suspect(known, this->exchange->body.size())) {
-        quarantine::acquit(known, this->identity().digest, this->context.now());
+        quarantine::clear_suspicion(known, this->identity().digest, this->context.now());
     }
 }
 
-void request_flow::cancel_if_quarantined(const quarantine::hold& hold) {
+void request_flow::cancel_if_quarantined(const quarantine::quarantined_request& hold) {
     const bool may_cancel =
         this->state == response_state::none && this->current && !this->current->response_started;
     const bool same_body_size = this->exchange->body.size() == hold.request.body_bytes;
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -102,7 +102,7 @@
         since < now && now - since >= max_outdated_weights_age(this->context.settings);
     candidate.lane = member.short_lane ? 1 : 0;
     candidate.change_time = weights::drain_rules{}.usual + load_time;
-    candidate.suspected = !membership::usable(member.health, now);
+    candidate.suspected = !membership::is_usable(member.health, now);
     if (const auto last = this->loaded_at.find(candidate.id); last != this->loaded_at.end()) {
         candidate.loaded_at = last->second;
     }
@@ -186,7 +186,7 @@
         }
         found.in_flight += fleet::total_work(member, now).in_flight;
         const bool serves =
-            membership::usable(member.health, now) && now >= member.weights_change_until;
+            membership::is_usable(member.health, now) && now >= member.weights_change_until;
         if (serves && &member != &changing) {
             found.slots += member.listed.slots;
         }
@@ -198,7 +198,7 @@
     if (weights::is_crowded(this->pool_load_without(member), {})) {
         return ports::in_flight_policy::continue_on_new_weights;
     }
-    const bool may_cut = fleet::total_work(member, this->context.now()).unrepeatable == 0;
+    const bool may_cut = fleet::total_work(member, this->context.now()).non_retryable == 0;
     return may_cut ? ports::in_flight_policy::abort : ports::in_flight_policy::finish;
 }
 
@@ -220,7 +220,7 @@
             continue;
         }
         auto& member = found->second;
-        const auto unrepeatable = fleet::total_work(member, now).unrepeatable;
+        const auto unrepeatable = fleet::total_work(member, now).non_retryable;
         if (weights::is_drained({now - *load.drained_since, unrepeatable}, {})) {
             this->pause_requests(member, load_time);
             this->send_load_command(member, model, version, known->second);
--- a/src/proxy/weights_loader_tests.cpp
+++ b/src/proxy/weights_loader_tests.cpp
@@ -122,7 +122,7 @@
     auto& other = world.world.state.fleet.members[{"i-2"}];
     other.listed = {.id = {"i-2"}, .pool = {"pool"}, .slots = 48};
     auto& work = world.member().local_work;
-    fleet::begin_work(work, {800, 800, false, true});
+    fleet::add_request(work, {800, 800, false, true});
     const auto begun = world.world.entry().now();
     const auto passed = [&] { return world.world.entry().now() - begun; };
 
@@ -133,10 +133,10 @@
         CHECK(world.member().weights_change_until > world.world.entry().now());
     }
     SECTION("once its calls that would be lost have ended") {
-        fleet::begin_work(work, {9000, 3000, true, false});
+        fleet::add_request(work, {9000, 3000, true, false});
         world.tick_until([&] { return passed() > base::milliseconds(700); });
         CHECK(world.commands.empty());
-        fleet::end_work(work, {9000, 3000, true, false}, true);
+        fleet::remove_request(work, {9000, 3000, true, false}, true);
         REQUIRE(world.wait_for_commands(1));
         CHECK(world.commands[0].find(R"("mode":"cut")") != std::string::npos);
     }
@@ -147,7 +147,7 @@
         CHECK(passed() < base::milliseconds(400));
     }
     SECTION("and finishes all of it where such a call takes long") {
-        fleet::begin_work(work, {9000, 3000, true, false});
+        fleet::add_request(work, {9000, 3000, true, false});
         REQUIRE(world.wait_for_commands(1));
         CHECK(world.commands[0].find(R"("mode":"wait")") != std::string::npos);
         CHECK(passed() >= base::milliseconds(1200));
