--- a/examples/at_most_once.cpp
+++ b/examples/at_most_once.cpp
@@ -46,7 +46,7 @@
 public:
     booking_desk(memory_store& store, const std::string& nonce)
         : store(&store), ledger(once::make_ledger({"desk-1"}, {"slots"}, nonce)) {
-        this->carry_out(once::on_lease_kept(this->ledger, 1, now().now, now()));
+        this->carry_out(once::on_lease_renewed(this->ledger, 1, now().now, now()));
         this->carry_out(once::set_placement(this->ledger, {{{"desk-1"}}}, now()));
     }
 
@@ -57,7 +57,7 @@
     }
 
 private:
-    static once::moment now() {
+    static once::event_time now() {
         return {std::chrono::time_point_cast<base::micros>(std::chrono::steady_clock::now()),
                 std::chrono::duration_cast<base::milliseconds>(
                     std::chrono::system_clock::now().time_since_epoch())
@@ -78,11 +78,11 @@
     void carry_out_one(const once::run_action& todo) {
         std::cout << "the call leaves: " << todo.key.value << ", fencing number "
                   << todo.fencing_number << "\n";
-        this->carry_out(
-            once::on_ended(this->ledger, todo.key, {200, "text/plain", "confirmed", true}, now()));
+        this->carry_out(once::on_completed(this->ledger, todo.key,
+                                           {200, "text/plain", "confirmed", true}, now()));
     }
-    void carry_out_one(const once::answer_action& todo) {
-        std::cout << todo.attempt.value << ": " << todo.answer.body << "\n";
+    void carry_out_one(const once::response_action& todo) {
+        std::cout << todo.attempt.value << ": " << todo.response.body << "\n";
     }
     void carry_out_one(const once::refuse_action& todo) {
         std::cout << todo.attempt.value << ": refused, " << base::to_string(todo.ran) << "\n";
--- a/src/agent/load_runner.cpp
+++ b/src/agent/load_runner.cpp
@@ -31,7 +31,7 @@
     return this->loader.state == loading::phase::loading;
 }
 
-loading::moment load_runner::moment() const {
+loading::event_time load_runner::moment() const {
     return {this->clock.now(), this->clock.wall_ms()};
 }
 
--- a/src/agent/load_runner.h
+++ b/src/agent/load_runner.h
@@ -21,7 +21,7 @@
     [[nodiscard]] bool loading() const;
 
 private:
-    [[nodiscard]] loading::moment moment() const;
+    [[nodiscard]] loading::event_time moment() const;
     void carry_out(const loading::actions& todo);
     void carry_out_one(const loading::read_action& todo);
     void carry_out_one(const loading::commit_action& todo);
--- a/src/agent/once_runner.cpp
+++ b/src/agent/once_runner.cpp
@@ -18,7 +18,7 @@
 
 // An answer while it arrives. It counts only whole.
 struct collected {
-    once::kept_answer answer;
+    once::recorded_response answer;
     bool events = false;
     stream::event_splitter splitter;
 };
@@ -52,7 +52,7 @@
     this->around.loop->every(tick_period, [this] { this->tick(); });
 }
 
-once::moment once_runner::moment() const {
+once::event_time once_runner::moment() const {
     return {this->clock.now(), this->clock.wall_ms()};
 }
 
@@ -91,7 +91,7 @@
 void once_runner::set_lease(std::int64_t granted, base::instant sent) {
     this->lease = granted;
     for (const auto& [name, pool] : this->pools) {
-        this->carry_out(pool, once::on_lease_kept(pool->ledger, granted, sent, this->moment()));
+        this->carry_out(pool, once::on_lease_renewed(pool->ledger, granted, sent, this->moment()));
     }
 }
 
@@ -140,7 +140,7 @@
     if (pool->orders.count(key.value) == 0) {
         pool->orders[key.value] = order;
     }
-    const once::moment at = this->moment();
+    const once::event_time at = this->moment();
     this->carry_out(
         pool,
         once::on_order(
@@ -165,8 +165,8 @@
     if (found == this->asked.end()) {
         return;
     }
-    once::on_caller_gone(found->second.pool->ledger, {attempt},
-                         {found->second.order.idempotency_key});
+    once::on_client_disconnected(found->second.pool->ledger, {attempt},
+                                 {found->second.order.idempotency_key});
     this->asked.erase(found);
 }
 
@@ -255,8 +255,8 @@
                  return;
              }
              pool->orders.erase(key.value);
-             this->carry_out(
-                 pool, once::on_ended(pool->ledger, key, std::move(state->answer), this->moment()));
+             this->carry_out(pool, once::on_completed(pool->ledger, key, std::move(state->answer),
+                                                      this->moment()));
          },
          fail});
 }
@@ -273,14 +273,14 @@
     return send;
 }
 
-void once_runner::carry_out_one(const pool_ptr& pool, const once::answer_action& todo) {
+void once_runner::carry_out_one(const pool_ptr& pool, const once::response_action& todo) {
     const send_function send = this->take_asker(*pool, todo.attempt);
     if (!send) {
         return;
     }
     this->around.timeline->mark("once_answered", todo.attempt.value);
-    send(wire::started{todo.attempt.value, todo.answer.status, todo.answer.content_type});
-    send(wire::chunk{todo.attempt.value, 0, todo.answer.body});
+    send(wire::started{todo.attempt.value, todo.response.status, todo.response.content_type});
+    send(wire::chunk{todo.attempt.value, 0, todo.response.body});
     send(wire::finished{todo.attempt.value, 1, 0, 0, {}});
 }
 
--- a/src/agent/once_runner.h
+++ b/src/agent/once_runner.h
@@ -53,7 +53,7 @@
 
     send_function take_asker(pool_runner& pool, const base::attempt_id& attempt);
     static void drop_settled(pool_runner& pool, const std::string& key);
-    [[nodiscard]] once::moment moment() const;
+    [[nodiscard]] once::event_time moment() const;
     void renew_lease();
     void set_lease(std::int64_t lease, base::instant sent);
     void tick();
@@ -61,7 +61,7 @@
     void carry_out_one(const pool_ptr& pool, const once::read_action& todo);
     void carry_out_one(const pool_ptr& pool, const once::commit_action& todo);
     void carry_out_one(const pool_ptr& pool, const once::run_action& todo);
-    void carry_out_one(const pool_ptr& pool, const once::answer_action& todo);
+    void carry_out_one(const pool_ptr& pool, const once::response_action& todo);
     void carry_out_one(const pool_ptr& pool, const once::refuse_action& todo);
     void carry_out_one(const pool_ptr& pool, const once::tombstoned_action& todo);
 
--- a/src/entries/line_up.cpp
+++ b/src/entries/duty_ranking.cpp
@@ -1,4 +1,4 @@
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 #include "base/hash.h"
 #include "routing/rendezvous.h"
@@ -15,24 +15,24 @@
 
 } // namespace
 
-std::size_t place_in_line(const std::vector<base::entry_id>& others, const base::entry_id& self,
-                          const std::string& duty) {
+std::size_t duty_rank(const std::vector<base::entry_id>& others, const base::entry_id& self,
+                      const std::string& duty) {
     const std::uint64_t key = base::stable_hash(duty);
-    const std::uint64_t ours = score(self, key);
+    const std::uint64_t own_score = score(self, key);
     return static_cast<std::size_t>(
         std::count_if(others.begin(), others.end(),
-                      [&](const base::entry_id& id) { return score(id, key) > ours; }));
+                      [&](const base::entry_id& id) { return score(id, key) > own_score; }));
 }
 
-std::optional<base::entry_id> ahead_in_line(const std::vector<base::entry_id>& others,
-                                            const base::entry_id& self, const std::string& duty) {
-    const std::size_t place = place_in_line(others, self, duty);
-    if (place == 0) {
+std::optional<base::entry_id> duty_parent(const std::vector<base::entry_id>& others,
+                                          const base::entry_id& self, const std::string& duty) {
+    const std::size_t rank = duty_rank(others, self, duty);
+    if (rank == 0) {
         return std::nullopt;
     }
     const std::uint64_t key = base::stable_hash(duty);
     auto line = others;
-    const auto wanted = line.begin() + static_cast<std::ptrdiff_t>((place - 1) / most_askers);
+    const auto wanted = line.begin() + static_cast<std::ptrdiff_t>((rank - 1) / max_duty_children);
     std::nth_element(line.begin(), wanted, line.end(), [key](const auto& left, const auto& right) {
         return score(left, key) > score(right, key);
     });
--- a/src/entries/line_up_tests.cpp
+++ b/src/entries/duty_ranking_tests.cpp
@@ -1,4 +1,4 @@
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,23 +12,23 @@
     for (int each = 0; each < 20; ++each) {
         all.push_back({"entry-" + std::to_string(each)});
     }
-    const auto place_of = [&all](const base::entry_id& self, const std::string& duty) {
+    const auto rank_of = [&all](const base::entry_id& self, const std::string& duty) {
         auto others = all;
         std::erase(others, self);
-        return entries::place_in_line(others, self, duty);
+        return entries::duty_rank(others, self, duty);
     };
-    std::set<std::size_t> places;
+    std::set<std::size_t> ranks;
     std::set<std::string> first;
     for (const auto& self : all) {
-        places.insert(place_of(self, "duty"));
+        ranks.insert(rank_of(self, "duty"));
     }
-    CHECK(places.size() == all.size());
-    CHECK(*places.rbegin() == all.size() - 1);
+    CHECK(ranks.size() == all.size());
+    CHECK(*ranks.rbegin() == all.size() - 1);
 
     SECTION("and spread duties among them") {
         for (int duty = 0; duty < 20; ++duty) {
             for (const auto& self : all) {
-                if (place_of(self, "duty-" + std::to_string(duty)) == 0) {
+                if (rank_of(self, "duty-" + std::to_string(duty)) == 0) {
                     first.insert(self.value);
                 }
             }
@@ -37,13 +37,13 @@
     }
     SECTION("and the next one moves up when one is gone") {
         for (const auto& self : all) {
-            if (place_of(self, "duty") != 1) {
+            if (rank_of(self, "duty") != 1) {
                 continue;
             }
             auto others = all;
             std::erase(others, self);
-            std::erase_if(others, [&](const auto& id) { return place_of(id, "duty") == 0; });
-            CHECK(entries::place_in_line(others, self, "duty") == 0);
+            std::erase_if(others, [&](const auto& id) { return rank_of(id, "duty") == 0; });
+            CHECK(entries::duty_rank(others, self, "duty") == 0);
         }
     }
 }
--- a/src/entries/relays.cpp
+++ b/src/entries/relays.cpp
@@ -11,33 +11,34 @@
 namespace {
 
 // Longer than a load is told again in the largest fleets, shorter than a frozen VM takes to wake.
-constexpr base::seconds relay_term{2};
+constexpr base::seconds relay_rotation_period{2};
 
 } // namespace
 
-relays choose_relays(const std::vector<linked_entry>& linked, const base::entry_id& self,
-                     const base::availability_zone& zone, base::instant now) {
-    const auto term = now.time_since_epoch() / relay_term;
+relay_targets choose_relay_targets(const std::vector<linked_entry>& linked,
+                                   const base::entry_id& self, const base::availability_zone& zone,
+                                   base::instant now) {
+    const auto term = now.time_since_epoch() / relay_rotation_period;
     const std::uint64_t key = base::stable_hash(self.value, static_cast<std::uint64_t>(term));
-    struct pick {
+    struct candidate {
         std::uint64_t score = 0;
         const linked_entry* entry = nullptr;
     };
-    relays chosen;
-    std::map<base::availability_zone, pick> picks;
+    relay_targets chosen;
+    std::map<base::availability_zone, candidate> candidates;
     for (const auto& each : linked) {
         if (each.zone == zone) {
-            chosen.near.push_back(each.id);
+            chosen.same_zone.push_back(each.id);
             continue;
         }
-        auto& best = picks[each.zone];
+        auto& best = candidates[each.zone];
         const std::uint64_t score = routing::score(base::stable_hash(each.id.value), key);
         if (best.entry == nullptr || score > best.score) {
             best = {score, &each};
         }
     }
-    for (const auto& [other, best] : picks) {
-        chosen.far.push_back(best.entry->id);
+    for (const auto& [other, best] : candidates) {
+        chosen.zone_relays.push_back(best.entry->id);
     }
     return chosen;
 }
--- a/src/entries/relays.h
+++ b/src/entries/relays.h
@@ -15,11 +15,11 @@
 };
 
 // Whom an entry tells what all should know soon.
-struct relays {
+struct relay_targets {
     // Those of its own availability zone.
-    std::vector<base::entry_id> near;
+    std::vector<base::entry_id> same_zone;
     // One of each other zone, which tells the others there.
-    std::vector<base::entry_id> far;
+    std::vector<base::entry_id> zone_relays;
 };
 
 // With a hundred entries that each told all others, news could go out twice a second without
@@ -29,7 +29,8 @@
 //
 // Who relays changes every few seconds, so that one that is frozen or cut off keeps nobody from
 // being heard for long.
-relays choose_relays(const std::vector<linked_entry>& linked, const base::entry_id& self,
-                     const base::availability_zone& zone, base::instant now);
+relay_targets choose_relay_targets(const std::vector<linked_entry>& linked,
+                                   const base::entry_id& self, const base::availability_zone& zone,
+                                   base::instant now);
 
 } // namespace camphorrail::entries
--- a/src/entries/relays_tests.cpp
+++ b/src/entries/relays_tests.cpp
@@ -24,11 +24,11 @@
     return all;
 }
 
-entries::relays relays_of(const std::vector<entries::linked_entry>& all, std::size_t self,
-                          base::instant at = now) {
+entries::relay_targets relays_of(const std::vector<entries::linked_entry>& all, std::size_t self,
+                                 base::instant at = now) {
     auto others = all;
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(self));
-    return entries::choose_relays(others, all[self].id, all[self].zone, at);
+    return entries::choose_relay_targets(others, all[self].id, all[self].zone, at);
 }
 
 } // namespace
@@ -38,21 +38,21 @@
     constexpr std::size_t zones = 5;
     CAPTURE(count);
     const auto all = entries_in(count, zones);
-    std::map<base::entry_id, entries::relays> told;
+    std::map<base::entry_id, entries::relay_targets> targets;
     for (std::size_t each = 0; each < count; ++each) {
-        told[all[each].id] = relays_of(all, each);
+        targets[all[each].id] = relays_of(all, each);
     }
     // A few senders are enough to look at where there are many entries.
     for (std::size_t each = 0; each < std::min<std::size_t>(count, 20); ++each) {
-        const auto& direct = told[all[each].id];
-        CHECK(direct.far.size() < zones);
-        std::set<base::entry_id> heard{all[each].id};
-        heard.insert(direct.near.begin(), direct.near.end());
-        for (const auto& relay : direct.far) {
-            heard.insert(relay);
-            heard.insert(told[relay].near.begin(), told[relay].near.end());
+        const auto& direct = targets[all[each].id];
+        CHECK(direct.zone_relays.size() < zones);
+        std::set<base::entry_id> reached{all[each].id};
+        reached.insert(direct.same_zone.begin(), direct.same_zone.end());
+        for (const auto& relay : direct.zone_relays) {
+            reached.insert(relay);
+            reached.insert(targets[relay].same_zone.begin(), targets[relay].same_zone.end());
         }
-        CHECK(heard.size() == count);
+        CHECK(reached.size() == count);
     }
 }
 
@@ -62,13 +62,13 @@
     const auto all = entries_in(103, 5);
     for (std::size_t each = 0; each < all.size(); ++each) {
         const auto relays = relays_of(all, each);
-        CHECK(relays.near.size() + relays.far.size() <= 24);
+        CHECK(relays.same_zone.size() + relays.zone_relays.size() <= 24);
     }
 
     SECTION("and relaying is spread") {
         std::map<base::entry_id, int> asked;
         for (std::size_t each = 0; each < all.size(); ++each) {
-            for (const auto& relay : relays_of(all, each).far) {
+            for (const auto& relay : relays_of(all, each).zone_relays) {
                 ++asked[relay];
             }
         }
@@ -87,8 +87,9 @@
     std::set<base::entry_id> relays;
     for (int term = 0; term < 6; ++term) {
         const auto at = now + base::seconds(2 * term);
-        CHECK(relays_of(all, 0, at).far == relays_of(all, 0, at + base::milliseconds(500)).far);
-        const auto far = relays_of(all, 0, at).far;
+        CHECK(relays_of(all, 0, at).zone_relays ==
+              relays_of(all, 0, at + base::milliseconds(500)).zone_relays);
+        const auto far = relays_of(all, 0, at).zone_relays;
         relays.insert(far.begin(), far.end());
     }
     CHECK(relays.size() > 8);
--- /dev/null
+++ b/src/entries/store_sync.cpp
@@ -0,0 +1,134 @@
+#include "entries/store_sync.h"
+
+#include <algorithm>
+
+namespace camphorrail::entries {
+
+namespace {
+
+// After so many failures in a row the pause grows no longer.
+constexpr int max_counted_failures = 4;
+
+base::micros retry_delay_for(const store_sync& sync, const store_sync_view& view,
+                             const store_sync_rules& rules) {
+    const auto failures = std::min(sync.failures, max_counted_failures);
+    const auto steps = static_cast<std::int64_t>(view.rank) + std::max(failures, 1);
+    return std::min(rules.retry_delay * steps, rules.max_retry_delay);
+}
+
+// Whether a proof by this entry is wanted: always by the first in line, by the others where none
+// has reached them for too long.
+bool needs_verification(const store_sync_view& view, const store_sync_rules& rules) {
+    if (view.rank == 0 || !view.verification_age) {
+        return true;
+    }
+    const auto steps_behind = static_cast<std::int64_t>(view.rank) - 1;
+    const auto max_age = std::min(rules.first_takeover_age + rules.takeover_age_step * steps_behind,
+                                  rules.max_takeover_age);
+    return *view.verification_age > max_age;
+}
+
+bool should_watch(const store_sync& sync, const store_sync_view& view,
+                  const store_sync_rules& rules) {
+    return view.rank < rules.watchers || view.now < sync.extra_watch_until;
+}
+
+void start_watching(store_sync& sync, const store_sync_view& view) {
+    sync.next_watch = view.now;
+    sync.watch_suspected = false;
+}
+
+void record_failure(store_sync& sync, const store_sync_view& view, const store_sync_rules& rules) {
+    ++sync.failures;
+    const base::instant again = view.now + retry_delay_for(sync, view, rules);
+    sync.next_read = again;
+    sync.next_watch = again;
+    sync.next_verification = again;
+}
+
+} // namespace
+
+store_calls next_store_calls(store_sync& sync, const store_sync_view& view,
+                             const store_sync_rules& rules) {
+    store_calls due;
+    if (sync.read_needed && !sync.reading && view.now >= sync.next_read) {
+        sync.reading = true;
+        due.read = true;
+        return due;
+    }
+    if (!sync.read_once) {
+        return due;
+    }
+    const bool was_following = sync.watches_store;
+    sync.watches_store = should_watch(sync, view, rules);
+    if (sync.watches_store && !was_following) {
+        start_watching(sync, view);
+    }
+    // While the store does not answer, proofs alone look for its return.
+    due.watch =
+        sync.watches_store && !sync.watching && sync.failures == 0 && view.now >= sync.next_watch;
+    if (due.watch) {
+        sync.watching = true;
+        sync.watch_since = view.now;
+    }
+    due.verify = !sync.verifying && !sync.reading && view.now >= sync.next_verification &&
+                 needs_verification(view, rules);
+    sync.verifying = sync.verifying || due.verify;
+    return due;
+}
+
+void record_store_read(store_sync& sync, bool answered, const store_sync_view& view,
+                       const store_sync_rules& rules) {
+    sync.reading = false;
+    if (!answered) {
+        record_failure(sync, view, rules);
+        return;
+    }
+    sync.failures = 0;
+    sync.read_once = true;
+    sync.read_needed = false;
+    sync.watch_suspected = false;
+    // A watch that is still open may have been cut without a sign.
+    sync.watching = false;
+    sync.next_watch = view.now + rules.watch_interval;
+    sync.next_verification = view.now + rules.verification_interval;
+}
+
+void record_watch_end(store_sync& sync, bool answered, bool history_lost,
+                      const store_sync_view& view, const store_sync_rules& rules) {
+    sync.watching = false;
+    // A watch that is cut says nothing of the store; the next proof does.
+    sync.next_watch = view.now + (answered ? rules.watch_interval : rules.retry_delay);
+    sync.read_needed = sync.read_needed || (answered && history_lost);
+}
+
+void record_verification(store_sync& sync, const verification_result& outcome,
+                         const store_sync_view& view, const store_sync_rules& rules) {
+    sync.verifying = false;
+    if (!outcome.answered) {
+        record_failure(sync, view, rules);
+        return;
+    }
+    if (sync.failures > 0) {
+        sync.failures = 0;
+        // The one that is open may have been cut without a sign.
+        sync.watching = false;
+    }
+    const bool has_changes = outcome.behind || !outcome.unchanged;
+    const bool missed =
+        has_changes && sync.watching && view.now - sync.watch_since > rules.max_watch_delay;
+    // The store is ahead of us for a second time in a row: the watch tells nothing any more.
+    sync.read_needed = sync.read_needed || (missed && (sync.watch_suspected || !outcome.unchanged));
+    sync.watch_suspected = missed;
+    if (has_changes && view.rank >= rules.watchers) {
+        // Nobody tells this entry of changes any more.
+        sync.extra_watch_until = view.now + rules.min_extra_watch;
+    }
+    if (has_changes && !sync.watching) {
+        sync.next_watch = view.now;
+    }
+    sync.next_verification =
+        view.now + (outcome.unchanged ? rules.verification_interval : rules.retry_delay);
+}
+
+} // namespace camphorrail::entries
--- a/src/loading/loader.cpp
+++ b/src/loading/loader.cpp
@@ -12,14 +12,14 @@
 
 struct slot_record {
     std::string nonce;
-    std::int64_t until_ms = 0;
+    std::int64_t expires_ms = 0;
 };
 
 std::string to_text(const loader& state) {
     return json{{"agent", state.self.value},
                 {"nonce", state.nonce},
-                {"weights", state.wanted},
-                {"until_ms", state.until_ms}}
+                {"weights", state.desired_weights},
+                {"until_ms", state.expires_ms}}
         .dump();
 }
 
@@ -34,7 +34,7 @@
 }
 
 std::string slot_key(std::size_t number) {
-    return slots_prefix + std::to_string(number);
+    return slot_key_prefix + std::to_string(number);
 }
 
 const ports::stored_value* find(const ports::snapshot& answer, const std::string& key) {
@@ -43,85 +43,86 @@
     return found == answer.values.end() ? nullptr : &*found;
 }
 
-bool free_now(const loader& state, const ports::stored_value* held, const moment& at) {
+bool is_free(const loader& state, const ports::stored_value* held, const event_time& at) {
     if (held == nullptr) {
         return true;
     }
     const auto record = parse(held->value);
-    return record && record->until_ms + 2 * state.rules.wall_skew.count() < at.wall_ms;
+    return record && record->expires_ms + 2 * state.rules.max_clock_skew.count() < at.wall_ms;
 }
 
-void wait(loader& state, const moment& at) {
+void schedule_retry(loader& state, const event_time& at) {
     state.state = phase::idle;
-    state.next_try = at.now + state.rules.retry;
+    state.retry_at = at.now + state.rules.retry_delay;
 }
 
-void give_back(loader& state, actions& out) {
-    state.state = phase::giving_back;
+void release_slot(loader& state, actions& out) {
+    state.state = phase::releasing;
     ports::transaction change;
-    change.preconditions.push_back({state.slot, state.fence});
+    change.preconditions.push_back({state.slot, state.slot_revision});
     change.writes.push_back({state.slot, "", true});
     out.push_back(commit_action{std::move(change)});
 }
 
-void begin(loader& state, const moment& at, actions& out) {
+void begin_load(loader& state, const event_time& at, actions& out) {
     // The slot may also have been taken by an earlier try of ours whose write arrived late.
-    const auto begin_within =
-        std::chrono::duration_cast<base::milliseconds>(state.rules.begin_within);
-    const auto begin_by = state.until_ms - (state.rules.longest_load - begin_within).count();
-    if (at.now > state.asked_at + state.rules.begin_within || at.wall_ms > begin_by) {
-        give_back(state, out);
+    const auto max_start_delay =
+        std::chrono::duration_cast<base::milliseconds>(state.rules.max_start_delay);
+    const auto start_by_ms =
+        state.expires_ms - (state.rules.max_load_time - max_start_delay).count();
+    if (at.now > state.requested_at + state.rules.max_start_delay || at.wall_ms > start_by_ms) {
+        release_slot(state, out);
         return;
     }
     state.state = phase::loading;
-    out.push_back(load_action{state.wanted, state.fence});
+    out.push_back(load_action{state.desired_weights, state.slot_revision});
 }
 
-void take(loader& state, const std::string& slot, std::int64_t revision, const moment& at,
-          actions& out) {
-    state.state = phase::taking;
+void acquire_slot(loader& state, const std::string& slot, std::int64_t revision,
+                  const event_time& at, actions& out) {
+    state.state = phase::acquiring;
     state.slot = slot;
-    state.asked_at = at.now;
-    state.until_ms = at.wall_ms + state.rules.longest_load.count();
+    state.requested_at = at.now;
+    state.expires_ms = at.wall_ms + state.rules.max_load_time.count();
     ports::transaction change;
     change.preconditions.push_back({slot, revision});
     change.writes.push_back({slot, to_text(state)});
     out.push_back(commit_action{std::move(change)});
 }
 
-void advance(loader& state, const moment& at, actions& out) {
-    if (state.state == phase::loading && state.wanted == state.loaded) {
-        give_back(state, out);
-    } else if (state.state == phase::idle && at.now >= state.next_try &&
-               (state.wanted != state.loaded || !state.slot.empty())) {
+void advance(loader& state, const event_time& at, actions& out) {
+    if (state.state == phase::loading && state.desired_weights == state.loaded_weights) {
+        release_slot(state, out);
+    } else if (state.state == phase::idle && at.now >= state.retry_at &&
+               (state.desired_weights != state.loaded_weights || !state.slot.empty())) {
         state.state = phase::reading;
-        out.push_back(read_action{slots_prefix});
+        out.push_back(read_action{slot_key_prefix});
     }
 }
 
 } // namespace
 
-actions on_weights(loader& state, const std::string& wanted, const std::string& loaded,
-                   const moment& at) {
+actions on_weights(loader& state, const std::string& desired_weights,
+                   const std::string& loaded_weights, const event_time& at) {
     actions out;
     if (state.state == phase::idle) {
-        state.wanted = wanted;
+        state.desired_weights = desired_weights;
     }
-    state.loaded = loaded;
+    state.loaded_weights = loaded_weights;
     advance(state, at, out);
     return out;
 }
 
-actions on_tick(loader& state, const moment& at) {
+actions on_tick(loader& state, const event_time& at) {
     actions out;
     advance(state, at, out);
     return out;
 }
 
-actions on_read(loader& state, const base::result<ports::snapshot>& answer, const moment& at) {
+actions on_read(loader& state, const base::result<ports::snapshot>& answer, const event_time& at) {
     actions out;
     if (!answer.has_value()) {
-        wait(state, at);
+        schedule_retry(state, at);
         return out;
     }
     for (std::size_t number = 0; number < state.rules.slots; ++number) {
@@ -132,43 +133,44 @@
         }
         // An earlier write of ours took effect and its answer was lost.
         state.slot = slot_key(number);
-        state.fence = held->mod_revision;
-        state.until_ms = record->until_ms;
-        if (state.wanted == state.loaded) {
-            give_back(state, out);
+        state.slot_revision = held->mod_revision;
+        state.expires_ms = record->expires_ms;
+        if (state.desired_weights == state.loaded_weights) {
+            release_slot(state, out);
         } else {
-            begin(state, at, out);
+            begin_load(state, at, out);
         }
         return out;
     }
     state.slot.clear();
-    for (std::size_t number = 0; number < state.rules.slots && state.wanted != state.loaded;
-         ++number) {
+    for (std::size_t number = 0;
+         number < state.rules.slots && state.desired_weights != state.loaded_weights; ++number) {
         const auto* held = find(answer.value(), slot_key(number));
-        if (free_now(state, held, at)) {
-            take(state, slot_key(number), held == nullptr ? 0 : held->mod_revision, at, out);
+        if (is_free(state, held, at)) {
+            acquire_slot(state, slot_key(number), held == nullptr ? 0 : held->mod_revision, at,
+                         out);
             return out;
         }
     }
-    wait(state, at);
+    schedule_retry(state, at);
     return out;
 }
 
 actions on_committed(loader& state, const base::result<ports::commit_result>& answer,
-                     const moment& at) {
+                     const event_time& at) {
     actions out;
     const bool applied = answer.has_value() && answer.value().applied;
-    if (state.state == phase::giving_back) {
+    if (state.state == phase::releasing) {
         if (applied) {
             state.slot.clear();
         }
-        wait(state, at);
+        schedule_retry(state, at);
     } else if (applied) {
-        state.fence = answer.value().revision;
-        begin(state, at, out);
+        state.slot_revision = answer.value().revision;
+        begin_load(state, at, out);
     } else {
         // Someone was faster, or the answer was lost: the next read tells which.
-        wait(state, at);
+        schedule_retry(state, at);
     }
     return out;
 }
--- a/src/loading/loader.h
+++ b/src/loading/loader.h
@@ -21,36 +21,36 @@
 struct loader_rules {
     std::size_t slots = 3;
     // The longest that a load takes, from the order to the engine's word that it is done.
-    base::milliseconds longest_load = base::minutes(10);
+    base::milliseconds max_load_time = base::minutes(10);
     // A load must begin this soon after its slot was asked for; a process that was paused longer
     // gives the slot back, or its load could outlast the slot.
-    base::micros begin_within = base::seconds(30);
-    base::micros retry = base::seconds(2);
+    base::micros max_start_delay = base::seconds(30);
+    base::micros retry_delay = base::seconds(2);
     // Bound on the difference between two VMs' wall clocks.
-    base::milliseconds wall_skew = base::seconds(5);
+    base::milliseconds max_clock_skew = base::seconds(5);
 };
 
-struct moment {
+struct event_time {
     base::instant now;
     std::int64_t wall_ms = 0;
 };
 
-enum class phase { idle, reading, taking, loading, giving_back };
+enum class phase { idle, reading, acquiring, loading, releasing };
 
 struct loader {
     base::upstream_id self;
     // Differs for every start of a process.
     std::string nonce;
     loader_rules rules;
-    std::string wanted;
-    std::string loaded;
+    std::string desired_weights;
+    std::string loaded_weights;
     phase state = phase::idle;
     std::string slot;
-    std::int64_t fence = 0;
+    std::int64_t slot_revision = 0;
     // Until when the slot is ours, and when we asked for it.
-    std::int64_t until_ms = 0;
-    base::instant asked_at{};
-    base::instant next_try{};
+    std::int64_t expires_ms = 0;
+    base::instant requested_at{};
+    base::instant retry_at{};
 };
 
 struct read_action {
@@ -69,13 +69,13 @@
 using actions = std::vector<action>;
 
 // What the configuration wants, and what the engine says it has.
-actions on_weights(loader& state, const std::string& wanted, const std::string& loaded,
-                   const moment& at);
-actions on_tick(loader& state, const moment& at);
-actions on_read(loader& state, const base::result<ports::snapshot>& answer, const moment& at);
+actions on_weights(loader& state, const std::string& desired_weights,
+                   const std::string& loaded_weights, const event_time& at);
+actions on_tick(loader& state, const event_time& at);
+actions on_read(loader& state, const base::result<ports::snapshot>& answer, const event_time& at);
 actions on_committed(loader& state, const base::result<ports::commit_result>& answer,
-                     const moment& at);
+                     const event_time& at);
 
-inline constexpr const char* slots_prefix = "camphorrail/loading/";
+inline constexpr const char* slot_key_prefix = "camphorrail/loading/";
 
 } // namespace camphorrail::loading
--- a/src/loading/loader_tests.cpp
+++ b/src/loading/loader_tests.cpp
@@ -22,29 +22,29 @@
 
 // Twelve engines want new weights at once, on a virtual clock, with a platform that loses answers,
 // takes writes late and has outages, and agents that freeze and restart.
-class load_world {
+class loading_simulation {
 public:
-    load_world(std::uint64_t seed, bool ignore_expectations, bool ignore_begin)
+    loading_simulation(std::uint64_t seed, bool ignore_expectations, bool ignore_begin)
         : random{seed}, ignore_expectations(ignore_expectations) {
         // What the begin check is for needs a freeze between the slot's write and its answer.
         this->freeze_percent = ignore_begin ? 8 : 1;
         for (int number = 0; number < engines; ++number) {
-            this->boot(number);
+            this->start_agent(number);
             if (ignore_begin) {
-                this->agents[number].loader.rules.begin_within = seconds(100000);
+                this->agents[number].loader.rules.max_start_delay = seconds(100000);
             }
             this->tick(number);
         }
     }
 
-    int most_at_once() {
+    int max_concurrent_loads() {
         while (!this->events.empty() && this->events.top().at < base::instant{seconds(600)}) {
             const auto next = this->events.top();
             this->events.pop();
             this->now = next.at;
             next.action();
         }
-        return this->most;
+        return this->max_running;
     }
     int loaded() const {
         return static_cast<int>(
@@ -53,11 +53,11 @@
     }
 
 private:
-    struct planned {
+    struct scheduled_event {
         base::instant at;
         int order = 0;
         std::function<void()> action;
-        bool operator<(const planned& other) const {
+        bool operator<(const scheduled_event& other) const {
             return this->at != other.at ? this->at > other.at : this->order > other.order;
         }
     };
@@ -65,7 +65,7 @@
         loading::loader loader;
         std::string weights = "w1";
         base::instant frozen_until{};
-        int life = 0;
+        int incarnation = 0;
     };
 
     void after(base::micros delay, std::function<void()> action) {
@@ -78,34 +78,36 @@
     bool chance(int percent) {
         return base::random_below(this->random, 100) < static_cast<unsigned>(percent);
     }
-    loading::moment moment() const {
+    loading::event_time event_time() const {
         return {this->now, wall_start + this->now.time_since_epoch().count() / 1000};
     }
 
-    void boot(int number) {
+    void start_agent(int number) {
         agent& at = this->agents[number];
         auto rules = at.loader.rules;
-        if (at.life == 0) {
-            rules.longest_load = seconds(40);
-            rules.begin_within = seconds(5);
-            rules.wall_skew = milliseconds(100);
+        if (at.incarnation == 0) {
+            rules.max_load_time = seconds(40);
+            rules.max_start_delay = seconds(5);
+            rules.max_clock_skew = milliseconds(100);
         }
-        ++at.life;
+        ++at.incarnation;
         at.loader = {};
         at.loader.rules = rules;
         at.loader.self = {std::to_string(number)};
-        at.loader.nonce = std::to_string(number) + "#" + std::to_string(at.life);
+        at.loader.nonce = std::to_string(number) + "#" + std::to_string(at.incarnation);
     }
 
-    void deliver(int number, int life, std::function<void()> action) {
+    void deliver(int number, int incarnation, std::function<void()> action) {
         agent& at = this->agents[number];
-        if (at.life != life) {
+        if (at.incarnation != incarnation) {
             return;
         }
         if (this->now < at.frozen_until) {
             this->after(at.frozen_until - this->now +
                             this->between(base::micros(1), milliseconds(1)),
-                        [this, number, life, action] { this->deliver(number, life, action); });
+                        [this, number, incarnation, action] {
+                            this->deliver(number, incarnation, action);
+                        });
             return;
         }
         action();
@@ -118,15 +120,15 @@
                 at.frozen_until = this->now + this->between(seconds(1), seconds(60));
             }
             if (this->chance(1)) {
-                this->boot(number);
+                this->start_agent(number);
             }
             if (number == 0 && this->chance(2)) {
                 this->outage_until = this->now + this->between(seconds(1), seconds(20));
             }
-            this->deliver(number, at.life, [this, number] {
+            this->deliver(number, at.incarnation, [this, number] {
                 agent& up = this->agents[number];
-                this->carry_out(number,
-                                loading::on_weights(up.loader, "w2", up.weights, this->moment()));
+                this->carry_out(
+                    number, loading::on_weights(up.loader, "w2", up.weights, this->event_time()));
             });
             this->tick(number);
         });
@@ -139,7 +141,7 @@
                     number, [this] { return this->read_all(); },
                     [this, number](const base::result<ports::snapshot>& got) {
                         this->carry_out(number, loading::on_read(this->agents[number].loader, got,
-                                                                 this->moment()));
+                                                                 this->event_time()));
                     });
                 (void)read;
             } else if (const auto* commit = std::get_if<loading::commit_action>(&action)) {
@@ -147,7 +149,7 @@
                     number, [this, change = commit->change] { return this->apply(change); },
                     [this, number](const base::result<ports::commit_result>& got) {
                         this->carry_out(number, loading::on_committed(this->agents[number].loader,
-                                                                      got, this->moment()));
+                                                                      got, this->event_time()));
                     });
             } else {
                 this->load(number);
@@ -160,7 +162,7 @@
         if (!this->busy.insert(number).second) {
             return;
         }
-        this->most = std::max(this->most, ++this->running);
+        this->max_running = std::max(this->max_running, ++this->running);
         this->after(this->between(seconds(5), seconds(34)), [this, number] {
             --this->running;
             this->busy.erase(number);
@@ -171,7 +173,7 @@
     template <class Answer>
     void call(int number, std::function<Answer()> effect,
               std::function<void(const base::result<Answer>&)> done) {
-        const int life = this->agents[number].life;
+        const int incarnation = this->agents[number].incarnation;
         const bool lost = this->chance(10);
         const base::micros there =
             this->chance(10) ? this->between(seconds(1), seconds(20)) : milliseconds(5);
@@ -182,7 +184,7 @@
             }
         });
         this->after(lost ? milliseconds(400) : there + milliseconds(5), [=, this] {
-            this->deliver(number, life, [done, answer, lost] {
+            this->deliver(number, incarnation, [done, answer, lost] {
                 done(lost ? base::result<Answer>(base::code::platform_unreachable) : *answer);
             });
         });
@@ -219,7 +221,7 @@
     bool ignore_expectations;
     base::instant now{seconds(1)};
     int order = 0;
-    std::priority_queue<planned> events;
+    std::priority_queue<scheduled_event> events;
     std::map<int, agent> agents;
     std::map<std::string, ports::stored_value> store;
     std::int64_t revision = 1;
@@ -227,17 +229,17 @@
     std::set<int> busy;
     int running = 0;
     int freeze_percent = 1;
-    int most = 0;
+    int max_running = 0;
 };
 
-int most_over(int schedules, bool ignore_expectations, bool ignore_begin) {
-    int most = 0;
+int max_concurrent_loads_over(int schedules, bool ignore_expectations, bool ignore_begin) {
+    int max_running = 0;
     for (int seed = 1; seed <= schedules; ++seed) {
-        most = std::max(
-            most, load_world(static_cast<std::uint64_t>(seed), ignore_expectations, ignore_begin)
-                      .most_at_once());
+        max_running = std::max(max_running, loading_simulation(static_cast<std::uint64_t>(seed),
+                                                               ignore_expectations, ignore_begin)
+                                                .max_concurrent_loads());
     }
-    return most;
+    return max_running;
 }
 
 } // namespace
@@ -247,20 +249,20 @@
 // long, and the model would be out meanwhile.
 TEST_CASE("at most three engines load at once", "[loading][schedule]") {
     SECTION("through outages, lost and late writes, freezes and restarts") {
-        CHECK(most_over(300, false, false) == 3);
+        CHECK(max_concurrent_loads_over(300, false, false) == 3);
     }
 
     SECTION("and in the end all have loaded") {
-        load_world calm(1, false, false);
-        calm.most_at_once();
+        loading_simulation calm(1, false, false);
+        calm.max_concurrent_loads();
         CHECK(calm.loaded() == engines);
     }
 
     SECTION("which fails where a slot is taken without compare-and-swap") {
-        CHECK(most_over(300, true, false) > 3);
+        CHECK(max_concurrent_loads_over(300, true, false) > 3);
     }
 
     SECTION("which fails where an agent that was paused begins to load on an old slot") {
-        CHECK(most_over(300, false, true) > 3);
+        CHECK(max_concurrent_loads_over(300, false, true) > 3);
     }
 }
--- a/src/mirror/store_mirror.cpp
+++ b/src/mirror/store_mirror.cpp
@@ -7,24 +7,24 @@
 namespace {
 
 // Upstreams come and go by the dozen; what fell behind by more reads all.
-constexpr std::size_t most_removed = 256;
+constexpr std::size_t max_removed_keys = 256;
 
-void note_removed(store_mirror& state, const std::string& key, std::int64_t revision) {
+void record_removal(store_mirror& state, const std::string& key, std::int64_t revision) {
     auto& removed_at = state.removed[key];
     removed_at = std::max(removed_at, revision);
-    if (state.removed.size() <= most_removed) {
+    if (state.removed.size() <= max_removed_keys) {
         return;
     }
     const auto oldest = std::min_element(
         state.removed.begin(), state.removed.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
-    state.removals_since = std::max(state.removals_since, oldest->second);
+    state.removals_complete_after = std::max(state.removals_complete_after, oldest->second);
     state.removed.erase(oldest);
 }
 
 // News that were longer on their way than those of the key's removal are passed over. Nothing would
 // tell of the removal a second time, and an upstream that has left would stay in the list.
-bool put(store_mirror& state, const ports::stored_value& item) {
+bool apply_write(store_mirror& state, const ports::stored_value& item) {
     const auto removed = state.removed.find(item.key);
     if (removed != state.removed.end()) {
         if (removed->second >= item.mod_revision) {
@@ -32,47 +32,47 @@
         }
         state.removed.erase(removed);
     }
-    auto& held = state.items[item.key];
-    if (held.mod_revision >= item.mod_revision) {
+    auto& stored = state.items[item.key];
+    if (stored.mod_revision >= item.mod_revision) {
         return false;
     }
-    held = item;
-    state.written_after[item.key] = state.whole_at;
+    stored = item;
+    state.written_after[item.key] = state.complete_as_of;
     return true;
 }
 
 // A removal is noted also where the key is not held. A reading of the store in pages may have
 // missed the key already; left out of what others are told, they would keep it at our revision, and
 // send requests to an upstream that has left.
-bool erase(store_mirror& state, const ports::stored_value& item) {
+bool apply_removal(store_mirror& state, const ports::stored_value& item) {
     const auto found = state.items.find(item.key);
-    const bool held = found != state.items.end();
-    if (held && found->second.mod_revision >= item.mod_revision) {
+    const bool stored = found != state.items.end();
+    if (stored && found->second.mod_revision >= item.mod_revision) {
         return false;
     }
-    if (held) {
+    if (stored) {
         state.items.erase(found);
         state.written_after.erase(item.key);
     }
-    note_removed(state, item.key, item.mod_revision);
-    return held;
+    record_removal(state, item.key, item.mod_revision);
+    return stored;
 }
 
 // All changes up to a revision are in the items now.
 void advance_to(store_mirror& state, std::int64_t revision) {
     state.revision = std::max(state.revision, revision);
-    if (!state.awaited || state.awaited->revision > state.revision) {
+    if (!state.pending_revision || state.pending_revision->revision > state.revision) {
         return;
     }
-    const auto reached = *state.awaited;
-    state.awaited.reset();
-    note_revision(state, reached.revision, reached.asked_at);
+    const auto reached = *state.pending_revision;
+    state.pending_revision.reset();
+    record_revision(state, reached.revision, reached.requested_at);
 }
 
 } // namespace
 
-std::set<std::string> take_snapshot(store_mirror& state, const ports::snapshot& read,
-                                    base::instant began) {
+std::set<std::string> apply_snapshot(store_mirror& state, const ports::snapshot& read,
+                                     base::instant began) {
     std::set<std::string> changed;
     if (read.revision < state.revision) {
         return changed;
@@ -80,7 +80,7 @@
     std::set<std::string> present;
     for (const auto& item : read.values) {
         present.insert(item.key);
-        if (put(state, item)) {
+        if (apply_write(state, item)) {
             changed.insert(item.key);
         }
     }
@@ -88,33 +88,33 @@
         const bool gone = present.count(it->first) == 0 && it->second.mod_revision <= read.revision;
         if (gone) {
             changed.insert(it->first);
-            note_removed(state, it->first, read.revision);
+            record_removal(state, it->first, read.revision);
             state.written_after.erase(it->first);
         }
         it = gone ? state.items.erase(it) : std::next(it);
     }
     if (state.revision == 0) {
         // What went before our first reading is not known.
-        state.removals_since = read.revision;
+        state.removals_complete_after = read.revision;
     }
     advance_to(state, read.revision);
-    prove(state, began);
+    mark_verified(state, began);
     return changed;
 }
 
-std::set<std::string> take_changes(store_mirror& state, const ports::changes& told) {
+std::set<std::string> apply_changes(store_mirror& state, const ports::changes& update) {
     std::set<std::string> changed;
-    for (const auto& each : told.items) {
-        if (each.deleted ? erase(state, each.item) : put(state, each.item)) {
+    for (const auto& each : update.items) {
+        if (each.deleted ? apply_removal(state, each.item) : apply_write(state, each.item)) {
             changed.insert(each.item.key);
         }
     }
-    advance_to(state, told.revision);
+    advance_to(state, update.revision);
     return changed;
 }
 
 std::optional<ports::changes> changes_since(const store_mirror& state, std::int64_t revision) {
-    if (revision < state.removals_since) {
+    if (revision < state.removals_complete_after) {
         return std::nullopt;
     }
     ports::changes since;
@@ -132,29 +132,29 @@
     return since;
 }
 
-void prove(store_mirror& state, base::instant began) {
-    if (!state.proved_at || *state.proved_at < began) {
-        state.proved_at = began;
+void mark_verified(store_mirror& state, base::instant began) {
+    if (!state.verified_at || *state.verified_at < began) {
+        state.verified_at = began;
     }
 }
 
-void note_revision(store_mirror& state, std::int64_t revision, base::instant asked_at) {
+void record_revision(store_mirror& state, std::int64_t revision, base::instant requested_at) {
     if (revision <= state.revision) {
-        state.whole_at = std::max(state.whole_at.value_or(asked_at), asked_at);
+        state.complete_as_of = std::max(state.complete_as_of.value_or(requested_at), requested_at);
         return;
     }
     // A higher one than that which is awaited would be reached later; taken each time, none might
     // ever be.
-    const bool earlier = !state.awaited || revision < state.awaited->revision;
-    const bool fresher =
-        state.awaited && revision == state.awaited->revision && asked_at > state.awaited->asked_at;
+    const bool earlier = !state.pending_revision || revision < state.pending_revision->revision;
+    const bool fresher = state.pending_revision && revision == state.pending_revision->revision &&
+                         requested_at > state.pending_revision->requested_at;
     if (earlier || fresher) {
-        state.awaited = {revision, asked_at};
+        state.pending_revision = {revision, requested_at};
     }
 }
 
 std::optional<base::micros> age(const store_mirror& state, base::instant now) {
-    return state.proved_at ? std::optional(now - *state.proved_at) : std::nullopt;
+    return state.verified_at ? std::optional(now - *state.verified_at) : std::nullopt;
 }
 
 std::optional<base::instant> written_after(const store_mirror& state, const std::string& key) {
@@ -162,7 +162,8 @@
     return found == state.written_after.end() ? std::nullopt : found->second;
 }
 
-std::vector<ports::stored_value> items_below(const store_mirror& state, const std::string& prefix) {
+std::vector<ports::stored_value> items_with_prefix(const store_mirror& state,
+                                                   const std::string& prefix) {
     std::vector<ports::stored_value> found;
     for (auto it = state.items.lower_bound(prefix);
          it != state.items.end() && it->first.starts_with(prefix); ++it) {
--- a/src/once/ledger.cpp
+++ b/src/once/ledger.cpp
@@ -1,7 +1,7 @@
 #include "once/ledger.h"
 
-#include "once/dated_key.h"
 #include "once/ownership.h"
+#include "once/timestamped_key.h"
 
 #include <algorithm>
 
@@ -9,43 +9,44 @@
 
 namespace {
 
-constexpr base::milliseconds soon{1000};
+constexpr base::milliseconds default_retry_after{1000};
 
 } // namespace
 
 ledger make_ledger(base::upstream_id self, base::pool_id pool, std::string nonce,
                    ledger_rules rules) {
-    ledger made;
-    made.self = std::move(self);
-    made.pool = std::move(pool);
-    made.nonce = std::move(nonce);
-    made.rules = rules;
-    return made;
+    ledger created;
+    created.self = std::move(self);
+    created.pool = std::move(pool);
+    created.nonce = std::move(nonce);
+    created.rules = rules;
+    return created;
 }
 
-actions set_placement(ledger& state, const placement& wanted, const moment& at) {
+actions set_placement(ledger& state, const placement& configured, const event_time& at) {
     actions out;
-    state.wanted = wanted;
+    state.configured = configured;
     detail::advance(state, at, out);
     return out;
 }
 
-actions on_lease_kept(ledger& state, std::int64_t lease, base::instant sent, const moment& at) {
+actions on_lease_renewed(ledger& state, std::int64_t lease, base::instant sent,
+                         const event_time& at) {
     actions out;
     state.lease = lease;
-    state.lease_kept_at = sent;
+    state.lease_renewed_at = sent;
     detail::advance(state, at, out);
     return out;
 }
 
-actions on_tick(ledger& state, const moment& at) {
+actions on_tick(ledger& state, const event_time& at) {
     actions out;
-    detail::settle_claims(state, at, out);
+    detail::resolve_pending_claims(state, at, out);
     detail::advance(state, at, out);
     return out;
 }
 
-actions close(ledger& state, const moment& at) {
+actions close(ledger& state, const event_time& at) {
     actions out;
     if (state.state != phase::superseded && state.state != phase::closed) {
         state.state = state.has_record ? phase::closing : phase::closed;
@@ -56,16 +57,17 @@
 
 namespace detail {
 
-bool blocked(const ledger& state, const base::idempotency_key& key) {
-    return std::any_of(state.others.begin(), state.others.end(), [&key](const auto& other) {
-        return !other.second.closed && owns(other.first, key, other.second.owners);
-    });
+bool owned_by_other(const ledger& state, const base::idempotency_key& key) {
+    return std::any_of(
+        state.other_records.begin(), state.other_records.end(), [&key](const auto& other) {
+            return !other.second.closed && owns(other.first, key, other.second.owners);
+        });
 }
 
-bool suspected(const ledger& state, const base::idempotency_key& key) {
+bool may_have_run_unrecorded(const ledger& state, const base::idempotency_key& key) {
     // Twice the skew: the key's date was held against another VM's clock, and so is this limit.
-    const auto made = made_at_ms(key);
-    return made && *made <= state.suspect_until_ms + 2 * state.rules.wall_skew_ms;
+    const auto created = creation_time_ms(key);
+    return created && *created <= state.suspect_until_ms + 2 * state.rules.wall_skew_ms;
 }
 
 bool ownership_certain(const ledger& state, base::instant now) {
@@ -75,36 +77,37 @@
     // A lease granted anew says nothing of our record until our `alive` key is known to be under
     // it: the record may have been closed while the old lease was lapsed. Nor is anything certain
     // while a proposed record may or may not have given keys away.
-    if (!state.lease_kept_at || state.lease != state.confirmed_lease ||
+    if (!state.lease_renewed_at || state.lease != state.confirmed_lease ||
         state.state != phase::active) {
         return false;
     }
-    const base::micros grace = state.mine.outage_grace;
-    return now + state.rules.clock_margin < *state.lease_kept_at + state.rules.lease + grace;
+    const base::micros grace = state.own_record.outage_grace;
+    return now + state.rules.clock_margin < *state.lease_renewed_at + state.rules.lease + grace;
 }
 
-bool may_run_unrecorded(const ledger& state, const base::idempotency_key& key, const moment& at) {
-    const auto made = made_at_ms(key);
+bool may_run_unrecorded(const ledger& state, const base::idempotency_key& key,
+                        const event_time& at) {
+    const auto created = creation_time_ms(key);
     // Only a key made after this life began can't have run in an earlier one; and one that claims
     // to come from the future could pass that check in a later life too.
-    return made && state.mine.outage_grace.count() > 0 &&
-           *made > state.joined_wall_ms + 2 * state.rules.wall_skew_ms &&
-           *made <= at.wall_ms + state.rules.wall_skew_ms && ownership_certain(state, at.now);
+    return created && state.own_record.outage_grace.count() > 0 &&
+           *created > state.joined_wall_ms + 2 * state.rules.wall_skew_ms &&
+           *created <= at.wall_ms + state.rules.wall_skew_ms && ownership_certain(state, at.now);
 }
 
 void mark_dirty(ledger& state, const base::idempotency_key& key, key_entry& entry) {
     if (!entry.segment) {
         std::int64_t last = state.segments.empty() ? 0 : state.segments.rbegin()->first;
-        if (state.segments[last].size() >= state.rules.keys_a_segment) {
+        if (state.segments[last].size() >= state.rules.keys_per_segment) {
             ++last;
         }
         state.segments[last].push_back(key);
         entry.segment = last;
     }
-    state.dirty.insert(*entry.segment);
+    state.dirty_segments.insert(*entry.segment);
 }
 
-void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const moment& at,
+void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const event_time& at,
                     actions& out) {
     for (const auto& attempt : entry.waiters) {
         if (why.ran == base::execution_state::not_run) {
@@ -115,9 +118,9 @@
     entry.waiters.clear();
 }
 
-void settle_asking(ledger& state, const moment& at, actions& out) {
-    const auto asked = std::move(state.asking);
-    state.asking.clear();
+void resolve_outcome_queries(ledger& state, const event_time& at, actions& out) {
+    const auto asked = std::move(state.outcome_queries);
+    state.outcome_queries.clear();
     for (const auto& key : asked) {
         const auto found = state.keys.find(key);
         if (found == state.keys.end()) {
@@ -125,19 +128,20 @@
         }
         key_entry& entry = found->second;
         if (entry.phase == key_phase::completed) {
-            answer_waiters(entry, out);
+            respond_to_waiters(entry, out);
         } else if (entry.phase == key_phase::unknown || entry.phase == key_phase::released) {
             refuse_waiters(state, entry,
-                           {base::code::once_outcome_unknown, base::execution_state::unknown, soon},
+                           {base::code::once_outcome_unknown, base::execution_state::unknown,
+                            default_retry_after},
                            at, out);
         }
     }
 }
 
-void answer_waiters(key_entry& entry, actions& out) {
+void respond_to_waiters(key_entry& entry, actions& out) {
     for (const auto& attempt : entry.waiters) {
-        if (entry.answer.body_kept) {
-            out.push_back(answer_action{attempt, entry.answer});
+        if (entry.response.body_recorded) {
+            out.push_back(response_action{attempt, entry.response});
         } else {
             out.push_back(refuse_action{attempt, base::code::once_answer_not_kept,
                                         base::execution_state::completed, base::milliseconds{0}});
@@ -148,7 +152,7 @@
 
 void release(ledger& state, const base::idempotency_key& key, key_entry& entry) {
     entry.phase = key_phase::released;
-    state.claiming.erase(key);
+    state.pending_claims.erase(key);
     mark_dirty(state, key, entry);
 }
 
--- a/src/once/ledger.h
+++ b/src/once/ledger.h
@@ -31,23 +31,23 @@
     // How often the members are read, and how often while a handover is awaited.
     base::micros members_period = base::seconds(5);
     // Owners for each such period: a read grows with the pool, so a large pool is read less often.
-    std::size_t owners_a_period = 10;
+    std::size_t owners_per_period = 10;
     base::micros handover_period = base::seconds(1);
     // The shortest time between two reads of the whole pool.
     base::micros pool_read_period = base::milliseconds(200);
     // How long after a failed call to the platform the next is tried.
     base::micros retry_after_failure = base::milliseconds(500);
     // How long a claim may wait for the platform before its order is refused.
-    base::micros claim_wait = base::seconds(2);
+    base::micros max_claim_wait = base::seconds(2);
     // Safety against clocks that run at different rates.
     base::micros clock_margin = base::seconds(1);
     // Bound on the difference between two VMs' wall clocks.
     std::int64_t wall_skew_ms = 5000;
     // How long a key's outcome is remembered.
     std::int64_t retention_ms = 3600LL * 1000;
-    std::size_t keys_a_segment = 64;
-    std::size_t segments_a_commit = 8;
-    std::size_t most_kept_body = 4096;
+    std::size_t keys_per_segment = 64;
+    std::size_t segments_per_commit = 8;
+    std::size_t max_recorded_body = 4096;
 };
 
 // Who should own the pool's keys by the configuration in force.
@@ -59,7 +59,7 @@
 };
 
 // The clocks as read when an event came in.
-struct moment {
+struct event_time {
     base::instant now;
     std::int64_t wall_ms = 0;
 };
@@ -78,7 +78,7 @@
 struct key_entry {
     key_phase phase = key_phase::claiming;
     std::string fingerprint;
-    kept_answer answer;
+    recorded_response response;
     std::int64_t claimed_at_ms = 0;
     base::instant claimed_at;
     base::instant deadline;
@@ -114,15 +114,15 @@
     base::upstream_id self;
     base::pool_id pool;
     ledger_rules rules;
-    placement wanted;
+    placement configured;
     std::string nonce;
     std::int64_t nonces = 0;
 
     phase state = phase::joining;
     // Our owner record as last written, and the revision that fences our writes.
-    owner_record mine;
-    std::int64_t fence = 0;
-    owner_record proposed;
+    owner_record own_record;
+    std::int64_t fence_revision = 0;
+    owner_record proposed_record;
     bool has_record = false;
     std::int64_t lease = 0;
     // The lease that our `alive` key was last written under.
@@ -130,36 +130,36 @@
     // The lease that it is known to be under.
     std::int64_t confirmed_lease = 0;
     // When the last renewal of our lease that succeeded was sent.
-    std::optional<base::instant> lease_kept_at;
+    std::optional<base::instant> lease_renewed_at;
     // With a predecessor that may still run unrecorded, nothing runs before this.
-    std::optional<base::instant> not_before;
+    std::optional<base::instant> earliest_run;
     std::int64_t joined_wall_ms = 0;
 
-    std::map<base::upstream_id, owner_record> others;
-    std::map<base::upstream_id, std::int64_t> others_revision;
+    std::map<base::upstream_id, owner_record> other_records;
+    std::map<base::upstream_id, std::int64_t> other_revisions;
     std::map<base::upstream_id, absence> missing_since;
-    std::set<base::upstream_id> dead;
+    std::set<base::upstream_id> dead_owners;
     // Keys dated up to here may have run unrecorded at an agent that then stopped.
     std::int64_t suspect_until_ms = 0;
 
     std::unordered_map<base::idempotency_key, key_entry> keys;
     std::map<std::int64_t, std::vector<base::idempotency_key>> segments;
     std::map<std::int64_t, std::int64_t> segment_revisions;
-    std::set<std::int64_t> dirty;
-    std::set<base::idempotency_key> claiming;
+    std::set<std::int64_t> dirty_segments;
+    std::set<base::idempotency_key> pending_claims;
     // Keys of unknown outcome whose callers wait for the journal to be read once more.
-    std::set<base::idempotency_key> asking;
+    std::set<base::idempotency_key> outcome_queries;
     // What the transaction under way holds: segments, and the claims in them.
-    std::set<std::int64_t> writing;
-    std::vector<base::idempotency_key> writing_claims;
+    std::set<std::int64_t> segments_in_flight;
+    std::vector<base::idempotency_key> claims_in_flight;
     std::map<std::string, std::int64_t> expired_segments;
     std::unordered_map<base::attempt_id, base::instant> tombstones;
 
-    operation pending = operation::none;
+    operation pending_call = operation::none;
     // Since when every call to the platform has failed.
-    std::optional<base::instant> down_since;
-    bool read_wanted = true;
-    base::instant next_try{};
+    std::optional<base::instant> platform_down_since;
+    bool pool_read_needed = true;
+    base::instant retry_at{};
     base::instant next_members_read{};
     base::instant next_pool_read{};
 };
@@ -184,9 +184,9 @@
     base::attempt_id attempt;
     std::int64_t fencing_number = 0;
 };
-struct answer_action {
+struct response_action {
     base::attempt_id attempt;
-    kept_answer answer;
+    recorded_response response;
 };
 struct refuse_action {
     base::attempt_id attempt;
@@ -199,7 +199,7 @@
     base::execution_state ran;
 };
 
-using action = std::variant<read_action, commit_action, run_action, answer_action, refuse_action,
+using action = std::variant<read_action, commit_action, run_action, response_action, refuse_action,
                             tombstoned_action>;
 using actions = std::vector<action>;
 
@@ -208,40 +208,42 @@
                    ledger_rules rules = {});
 
 // The configuration says who owns the pool's keys.
-actions set_placement(ledger& state, const placement& wanted, const moment& at);
+actions set_placement(ledger& state, const placement& configured, const event_time& at);
 // The agent's lease was granted, or renewed by a call sent at `sent`.
-actions on_lease_kept(ledger& state, std::int64_t lease, base::instant sent, const moment& at);
-actions on_read(ledger& state, const base::result<ports::snapshot>& answer, const moment& at);
+actions on_lease_renewed(ledger& state, std::int64_t lease, base::instant sent,
+                         const event_time& at);
+actions on_read(ledger& state, const base::result<ports::snapshot>& answer, const event_time& at);
 actions on_committed(ledger& state, const base::result<ports::commit_result>& answer,
-                     const moment& at);
-actions on_order(ledger& state, const order& request, const moment& at);
+                     const event_time& at);
+actions on_order(ledger& state, const order& request, const event_time& at);
 // The upstream's whole answer is there.
-actions on_ended(ledger& state, const base::idempotency_key& key, kept_answer answer,
-                 const moment& at);
+actions on_completed(ledger& state, const base::idempotency_key& key, recorded_response response,
+                     const event_time& at);
 // The call failed; `ran` is not_run only where it never left.
 actions on_failed(ledger& state, const base::idempotency_key& key, base::code number,
-                  base::execution_state ran, const moment& at);
+                  base::execution_state ran, const event_time& at);
 // An entry calls an attempt off and wants the truth about it.
 actions on_tombstone(ledger& state, const base::attempt_id& attempt,
-                     const base::idempotency_key& key, const moment& at);
+                     const base::idempotency_key& key, const event_time& at);
 // The attempt's caller has gone. What it started goes on, for a caller that asks again.
-void on_caller_gone(ledger& state, const base::attempt_id& attempt,
-                    const base::idempotency_key& key);
+void on_client_disconnected(ledger& state, const base::attempt_id& attempt,
+                            const base::idempotency_key& key);
 // To be called about every 100 ms.
-actions on_tick(ledger& state, const moment& at);
+actions on_tick(ledger& state, const event_time& at);
 // Stops taking orders; once nothing runs and all is recorded the state becomes closed.
-actions close(ledger& state, const moment& at);
+actions close(ledger& state, const event_time& at);
 
 // Parts shared between the ledger's files; not meant for callers.
 namespace detail {
 
 // Starts the platform call that is due, if none is under way.
-void advance(ledger& state, const moment& at, actions& out);
-bool blocked(const ledger& state, const base::idempotency_key& key);
-bool suspected(const ledger& state, const base::idempotency_key& key);
+void advance(ledger& state, const event_time& at, actions& out);
+bool owned_by_other(const ledger& state, const base::idempotency_key& key);
+bool may_have_run_unrecorded(const ledger& state, const base::idempotency_key& key);
 // Whether no other agent can have taken our keys over by now.
 bool ownership_certain(const ledger& state, base::instant now);
-bool may_run_unrecorded(const ledger& state, const base::idempotency_key& key, const moment& at);
+bool may_run_unrecorded(const ledger& state, const base::idempotency_key& key,
+                        const event_time& at);
 void mark_dirty(ledger& state, const base::idempotency_key& key, key_entry& entry);
 // What the attempts waiting for a key are told.
 struct refusal {
@@ -251,18 +253,18 @@
 };
 // Refuses all attempts that wait for a key. One told "not run" can't run any more either, should
 // another copy of its order come late.
-void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const moment& at,
+void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const event_time& at,
                     actions& out);
 // Lets claims that are now written run, or gives them back where that came too late.
-void run_claims(ledger& state, const std::vector<base::idempotency_key>& written, const moment& at,
-                actions& out);
+void run_claims(ledger& state, const std::vector<base::idempotency_key>& written,
+                const event_time& at, actions& out);
 // Decides about claims that can't be written now.
-void settle_claims(ledger& state, const moment& at, actions& out);
+void resolve_pending_claims(ledger& state, const event_time& at, actions& out);
 void release(ledger& state, const base::idempotency_key& key, key_entry& entry);
 // Gives a completed key's answer to all attempts that wait for it.
-void answer_waiters(key_entry& entry, actions& out);
+void respond_to_waiters(key_entry& entry, actions& out);
 // Answers those who asked for a key of unknown outcome, by what is known now.
-void settle_asking(ledger& state, const moment& at, actions& out);
+void resolve_outcome_queries(ledger& state, const event_time& at, actions& out);
 
 } // namespace detail
 
--- a/src/once/ledger_journal.cpp
+++ b/src/once/ledger_journal.cpp
@@ -12,7 +12,7 @@
 // Agent, life and number of a segment, from its place in the store.
 struct segment_name {
     base::upstream_id agent;
-    base::incarnation life;
+    base::incarnation incarnation;
     std::int64_t number = 0;
 };
 
@@ -24,15 +24,16 @@
     }
     segment_name name{{rest.substr(0, first)}, {}, 0};
     const char* text = rest.data();
-    const auto life = std::from_chars(text + first + 1, text + second, name.life.value);
+    const auto incarnation =
+        std::from_chars(text + first + 1, text + second, name.incarnation.value);
     const auto number = std::from_chars(text + second + 1, text + rest.size(), name.number);
-    if (life.ec != std::errc{} || number.ec != std::errc{}) {
+    if (incarnation.ec != std::errc{} || number.ec != std::errc{}) {
         return std::nullopt;
     }
     return name;
 }
 
-int strength(outcome state) {
+int precedence(outcome state) {
     switch (state) {
     case outcome::completed:
         return 2;
@@ -44,17 +45,17 @@
     return 0;
 }
 
-void take_over(key_entry& entry, const journal_record& record) {
+void adopt_record(key_entry& entry, const journal_record& record) {
     entry.fingerprint = record.fingerprint;
     entry.claimed_at_ms = record.claimed_at_ms;
-    entry.answer = record.answer;
+    entry.response = record.response;
     entry.phase = record.state == outcome::completed ? key_phase::completed : key_phase::unknown;
 }
 
 // Whether what others wrote counts more than what this life knows of the key. It does where we have
 // not run it, or never knew its end. That includes a claim still waiting to be written: while we
 // took ourselves for the owner, a successor may have run the key.
-bool yields(const key_entry& entry) {
+bool defers_to_journal(const key_entry& entry) {
     return entry.phase == key_phase::released || entry.phase == key_phase::claiming ||
            (entry.phase == key_phase::unknown && !entry.segment);
 }
@@ -66,10 +67,10 @@
         record.state = outcome::released;
     } else if (entry.phase == key_phase::completed) {
         record.state = outcome::completed;
-        record.answer = entry.answer;
-        if (record.answer.body.size() > state.rules.most_kept_body) {
-            record.answer.body.clear();
-            record.answer.body_kept = false;
+        record.response = entry.response;
+        if (record.response.body.size() > state.rules.max_recorded_body) {
+            record.response.body.clear();
+            record.response.body_recorded = false;
         }
     }
     return record;
@@ -83,7 +84,7 @@
     return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-journal_view read_journal(ledger& state, const ports::snapshot& answer, const moment& at) {
+journal_view read_journal(ledger& state, const ports::snapshot& answer, const event_time& at) {
     journal_view view;
     const std::string prefix = journal_prefix(state.pool);
     for (const auto& item : answer.values) {
@@ -94,7 +95,7 @@
         if (!records.has_value()) {
             continue;
         }
-        if (name->agent == state.self && name->life == state.mine.life) {
+        if (name->agent == state.self && name->incarnation == state.own_record.incarnation) {
             state.segment_revisions[name->number] = item.mod_revision;
             continue;
         }
@@ -102,7 +103,7 @@
         for (const auto& record : records.value()) {
             expired = expired && record.claimed_at_ms + state.rules.retention_ms < at.wall_ms;
             const auto known = view.find(record.key);
-            if (known == view.end() || strength(known->second.state) < strength(record.state)) {
+            if (known == view.end() || precedence(known->second.state) < precedence(record.state)) {
                 view[record.key] = record;
             }
         }
@@ -118,18 +119,18 @@
         const auto known = state.keys.find(key);
         const bool released = record.state == outcome::released;
         if (known == state.keys.end()) {
-            if (!released && owns(state.self, key, state.mine.owners)) {
-                take_over(state.keys[key], record);
+            if (!released && owns(state.self, key, state.own_record.owners)) {
+                adopt_record(state.keys[key], record);
             }
             continue;
         }
-        if (!yields(known->second)) {
+        if (!defers_to_journal(known->second)) {
             continue;
         }
         if (!released) {
-            state.claiming.erase(key);
-            state.asking.insert(key);
-            take_over(known->second, record);
+            state.pending_claims.erase(key);
+            state.outcome_queries.insert(key);
+            adopt_record(known->second, record);
         } else if (known->second.phase == key_phase::claiming) {
             continue;
         } else if (!known->second.segment && known->second.waiters.empty()) {
@@ -143,8 +144,8 @@
 // write of ours that the platform takes late, after its answer was lost and a newer one was sent,
 // would otherwise put the older content back and erase claims of calls that have left.
 void add_segments(ledger& state, ports::transaction& change, std::size_t most) {
-    for (const std::int64_t number : state.dirty) {
-        if (state.writing.size() == most) {
+    for (const std::int64_t number : state.dirty_segments) {
+        if (state.segments_in_flight.size() == most) {
             break;
         }
         segment records;
@@ -152,37 +153,38 @@
             const key_entry& entry = state.keys.at(key);
             records.push_back(to_record(state, key, entry));
             if (entry.phase == key_phase::claiming) {
-                state.writing_claims.push_back(key);
+                state.claims_in_flight.push_back(key);
             }
         }
-        const std::string place = segment_key(state.pool, state.self, state.mine.life, number);
+        const std::string place =
+            segment_key(state.pool, state.self, state.own_record.incarnation, number);
         change.preconditions.push_back({place, state.segment_revisions[number]});
         change.writes.push_back({place, to_text(records)});
-        state.writing.insert(number);
+        state.segments_in_flight.insert(number);
     }
-    for (const std::int64_t number : state.writing) {
-        state.dirty.erase(number);
+    for (const std::int64_t number : state.segments_in_flight) {
+        state.dirty_segments.erase(number);
     }
 }
 
 void add_expired(ledger& state, ports::transaction& change) {
-    constexpr std::size_t most_erased = 16;
+    constexpr std::size_t max_erased = 16;
     std::size_t erased = 0;
     for (const auto& [place, revision] : state.expired_segments) {
         change.writes.push_back({place, "", true});
-        if (++erased == most_erased) {
+        if (++erased == max_erased) {
             break;
         }
     }
     state.expired_segments.clear();
 }
 
-void begin_life(ledger& state, base::incarnation life) {
-    const auto dirty = state.dirty;
-    state.mine.life = life;
+void begin_incarnation(ledger& state, base::incarnation incarnation) {
+    const auto dirty = state.dirty_segments;
+    state.own_record.incarnation = incarnation;
     state.segments.clear();
     state.segment_revisions.clear();
-    state.dirty.clear();
+    state.dirty_segments.clear();
     for (auto& [key, entry] : state.keys) {
         const bool unwritten = entry.segment && dirty.count(*entry.segment) != 0;
         entry.segment.reset();
@@ -192,35 +194,36 @@
     }
 }
 
-void drop_expired_keys(ledger& state, const moment& at) {
+void drop_expired_keys(ledger& state, const event_time& at) {
     for (auto found = state.keys.begin(); found != state.keys.end();) {
         const key_entry& entry = found->second;
         const bool settled =
             entry.phase != key_phase::running && entry.phase != key_phase::claiming;
         const bool old = entry.claimed_at_ms + state.rules.retention_ms < at.wall_ms;
-        if (!settled || !old || (entry.segment && state.writing.count(*entry.segment) != 0)) {
+        if (!settled || !old ||
+            (entry.segment && state.segments_in_flight.count(*entry.segment) != 0)) {
             ++found;
             continue;
         }
         if (entry.segment) {
             std::erase(state.segments[*entry.segment], found->first);
-            state.dirty.insert(*entry.segment);
+            state.dirty_segments.insert(*entry.segment);
         }
         found = state.keys.erase(found);
     }
 }
 
-void redo_writing(ledger& state) {
-    state.dirty.insert(state.writing.begin(), state.writing.end());
-    state.writing.clear();
-    state.writing_claims.clear();
+void requeue_segments_in_flight(ledger& state) {
+    state.dirty_segments.insert(state.segments_in_flight.begin(), state.segments_in_flight.end());
+    state.segments_in_flight.clear();
+    state.claims_in_flight.clear();
 }
 
-void note_written(ledger& state, std::int64_t revision) {
-    for (const std::int64_t number : state.writing) {
+void mark_segments_written(ledger& state, std::int64_t revision) {
+    for (const std::int64_t number : state.segments_in_flight) {
         state.segment_revisions[number] = revision;
     }
-    state.writing.clear();
+    state.segments_in_flight.clear();
 }
 
 } // namespace detail
--- a/src/once/ledger_platform.cpp
+++ b/src/once/ledger_platform.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr base::milliseconds soon{1000};
+constexpr base::milliseconds default_retry_after{1000};
 
 // What one read of the pool says, put in order.
 struct pool_state {
@@ -44,8 +44,8 @@
 }
 
 // Since when an owner has been missing without a return between.
-base::instant since_when_missing(ledger& state, const base::upstream_id& owner,
-                                 const std::string& record, const moment& at) {
+base::instant missing_since_time(ledger& state, const base::upstream_id& owner,
+                                 const std::string& record, const event_time& at) {
     auto& known = state.missing_since.try_emplace(owner, absence{record, at.now}).first->second;
     if (known.record != record) {
         known = {record, at.now};
@@ -53,21 +53,21 @@
     return known.since;
 }
 
-void note_missing(ledger& state, const pool_state& read, const moment& at) {
-    for (const auto& owner : state.wanted.owners) {
+void record_missing(ledger& state, const pool_state& read, const event_time& at) {
+    for (const auto& owner : state.configured.owners) {
         const auto record = read.records.find(owner);
         const bool here = record != read.records.end() && !record->second.closed;
         if (owner == state.self || (here && read.alive.count(owner) != 0)) {
             state.missing_since.erase(owner);
-            state.dead.erase(owner);
+            state.dead_owners.erase(owner);
         } else if (record != read.records.end() && record->second.closed) {
-            state.dead.insert(owner);
+            state.dead_owners.insert(owner);
         } else {
             const std::string nonce =
                 record == read.records.end() ? std::string() : record->second.nonce;
-            const auto since = since_when_missing(state, owner, nonce, at);
+            const auto since = missing_since_time(state, owner, nonce, at);
             if (!here && at.now >= since + state.rules.takeover_after) {
-                state.dead.insert(owner);
+                state.dead_owners.insert(owner);
             }
         }
     }
@@ -75,8 +75,8 @@
 
 std::vector<base::upstream_id> desired_owners(const ledger& state) {
     std::vector<base::upstream_id> owners;
-    for (const auto& owner : state.wanted.owners) {
-        if (state.dead.count(owner) == 0) {
+    for (const auto& owner : state.configured.owners) {
+        if (state.dead_owners.count(owner) == 0) {
             owners.push_back(owner);
         }
     }
@@ -85,8 +85,8 @@
 
 std::optional<base::upstream_id> overdue_owner(const ledger& state, base::instant now) {
     for (const auto& [owner, missing] : state.missing_since) {
-        const auto record = state.others.find(owner);
-        if (record == state.others.end() || record->second.closed) {
+        const auto record = state.other_records.find(owner);
+        if (record == state.other_records.end() || record->second.closed) {
             continue;
         }
         // Until its grace is over it may still run dated keys, relying on nobody taking over.
@@ -98,208 +98,211 @@
     return std::nullopt;
 }
 
-bool nothing_running(const ledger& state) {
+bool is_idle(const ledger& state) {
     return std::none_of(state.keys.begin(), state.keys.end(), [](const auto& item) {
         return item.second.phase == key_phase::running || item.second.phase == key_phase::claiming;
     });
 }
 
 void start_read(ledger& state, operation kind, const std::string& prefix, actions& out) {
-    state.pending = kind;
+    state.pending_call = kind;
     out.push_back(read_action{prefix});
 }
 
-void start_journal(ledger& state, actions& out) {
+void start_journal_write(ledger& state, actions& out) {
     ports::transaction change;
-    change.preconditions.push_back({owner_key(state.pool, state.self), state.fence});
-    detail::add_segments(state, change, state.rules.segments_a_commit);
+    change.preconditions.push_back({owner_key(state.pool, state.self), state.fence_revision});
+    detail::add_segments(state, change, state.rules.segments_per_commit);
     detail::add_expired(state, change);
-    state.pending = operation::write_journal;
+    state.pending_call = operation::write_journal;
     out.push_back(commit_action{std::move(change)});
 }
 
 // Proposes an owner record. From here until the answer, whatever it is, nothing may run on the
 // strength of the old record: the new one may take effect at any moment, also if the answer is
 // lost, and others act on it.
-void start_record(ledger& state, bool closing, const moment& at, actions& out) {
-    owner_record& next = state.proposed;
+void start_record_write(ledger& state, bool closing, const event_time& at, actions& out) {
+    owner_record& next = state.proposed_record;
     next.agent = state.self;
     next.nonce = state.nonce + "." + std::to_string(++state.nonces);
     next.owners = desired_owners(state);
-    next.outage_grace = state.wanted.outage_grace;
+    next.outage_grace = state.configured.outage_grace;
     next.closed = closing;
     next.clean = closing;
     next.closed_at_ms = closing ? at.wall_ms : 0;
     const std::string place = owner_key(state.pool, state.self);
     const std::string alive = alive_key(state.pool, state.self);
     ports::transaction change;
-    change.preconditions.push_back({place, state.fence});
+    change.preconditions.push_back({place, state.fence_revision});
     change.writes.push_back({place, to_text(next)});
     change.writes.push_back({alive, state.nonce, closing, closing ? 0 : state.lease});
     if (state.has_record) {
         // What ran unrecorded becomes known before anyone else may own its key.
-        detail::add_segments(state, change, state.dirty.size());
+        detail::add_segments(state, change, state.dirty_segments.size());
     }
     state.alive_lease = state.lease;
     state.state = closing ? phase::closing : phase::joining;
-    state.pending = operation::write_record;
+    state.pending_call = operation::write_record;
     out.push_back(commit_action{std::move(change)});
 }
 
-void start_closing_other(ledger& state, const base::upstream_id& other, const moment& at,
+void start_closing_other(ledger& state, const base::upstream_id& other, const event_time& at,
                          actions& out) {
-    owner_record closed = state.others.at(other);
+    owner_record closed = state.other_records.at(other);
     closed.closed = true;
     closed.clean = false;
     closed.closed_at_ms = at.wall_ms;
     ports::transaction change;
-    change.preconditions.push_back({owner_key(state.pool, other), state.others_revision.at(other)});
+    change.preconditions.push_back({owner_key(state.pool, other), state.other_revisions.at(other)});
     change.preconditions.push_back({alive_key(state.pool, other), 0});
     change.writes.push_back({owner_key(state.pool, other), to_text(closed)});
-    state.pending = operation::close_other;
+    state.pending_call = operation::close_other;
     out.push_back(commit_action{std::move(change)});
 }
 
-void note_predecessor(ledger& state, const owner_record& prior, const moment& at) {
-    state.proposed.unrecorded_until_ms = unrecorded_until(prior);
+void record_predecessor(ledger& state, const owner_record& prior, const event_time& at) {
+    state.proposed_record.unrecorded_until_ms = unrecorded_until(prior);
     if (prior.closed || prior.outage_grace.count() == 0) {
         return;
     }
     // It may still be there, cut off from the platform only, and run dated keys until its time is
     // up. We wait for that, and rule out none of its keys.
     const base::micros wait = state.rules.lease + prior.outage_grace + state.rules.clock_margin;
-    state.not_before = at.now + wait;
-    state.proposed.unrecorded_until_ms =
+    state.earliest_run = at.now + wait;
+    state.proposed_record.unrecorded_until_ms =
         at.wall_ms + std::chrono::duration_cast<base::milliseconds>(wait).count();
-    state.suspect_until_ms = state.proposed.unrecorded_until_ms;
+    state.suspect_until_ms = state.proposed_record.unrecorded_until_ms;
 }
 
 // Takes a place in the pool after a read that says who held it last.
-void join(ledger& state, const pool_state& read, const moment& at, actions& out) {
+void join(ledger& state, const pool_state& read, const event_time& at, actions& out) {
     const auto own = read.records.find(state.self);
-    state.fence = own == read.records.end() ? 0 : read.revisions.at(state.self);
+    state.fence_revision = own == read.records.end() ? 0 : read.revisions.at(state.self);
     const bool mine = own != read.records.end() && state.has_record &&
-                      own->second.nonce == state.mine.nonce && !own->second.closed;
+                      own->second.nonce == state.own_record.nonce && !own->second.closed;
     if (!mine) {
-        const std::int64_t last = own == read.records.end() ? 0 : own->second.life.value;
+        const std::int64_t last = own == read.records.end() ? 0 : own->second.incarnation.value;
         // Another process of our name, started later, holds the record and is alive: we are the
         // one that was replaced.
-        const bool replaced =
-            state.has_record && own != read.records.end() && last > state.mine.life.value;
+        const bool replaced = state.has_record && own != read.records.end() &&
+                              last > state.own_record.incarnation.value;
         if (replaced) {
             state.state = phase::superseded;
             return;
         }
         if (own != read.records.end()) {
-            note_predecessor(state, own->second, at);
+            record_predecessor(state, own->second, at);
         }
-        detail::begin_life(state, {last + 1});
-        state.joined_wall_ms = std::max(at.wall_ms, state.proposed.unrecorded_until_ms);
+        detail::begin_incarnation(state, {last + 1});
+        state.joined_wall_ms = std::max(at.wall_ms, state.proposed_record.unrecorded_until_ms);
     }
-    state.proposed.life = state.mine.life;
-    start_record(state, false, at, out);
+    state.proposed_record.incarnation = state.own_record.incarnation;
+    start_record_write(state, false, at, out);
 }
 
 bool took_effect(const ledger& state, const pool_state& read) {
     const auto own = read.records.find(state.self);
-    return own != read.records.end() && !state.proposed.nonce.empty() &&
-           own->second.nonce == state.proposed.nonce && own->second == state.proposed;
+    return own != read.records.end() && !state.proposed_record.nonce.empty() &&
+           own->second.nonce == state.proposed_record.nonce && own->second == state.proposed_record;
 }
 
 bool still_ours(const ledger& state, const pool_state& read) {
     const auto own = read.records.find(state.self);
-    return state.has_record && own != read.records.end() && own->second == state.mine &&
-           read.revisions.at(state.self) == state.fence;
+    return state.has_record && own != read.records.end() && own->second == state.own_record &&
+           read.revisions.at(state.self) == state.fence_revision;
 }
 
-void adopt_proposal(ledger& state, std::int64_t revision) {
-    state.mine = state.proposed;
-    state.fence = revision;
+void adopt_proposed_record(ledger& state, std::int64_t revision) {
+    state.own_record = state.proposed_record;
+    state.fence_revision = revision;
     state.has_record = true;
     state.confirmed_lease = state.alive_lease;
-    state.state = state.mine.closed ? phase::closed : phase::reading;
-    state.read_wanted = true;
+    state.state = state.own_record.closed ? phase::closed : phase::reading;
+    state.pool_read_needed = true;
 }
 
 // Claims that were waiting for a key which has moved on to another owner.
-void drop_lost_claims(ledger& state, const moment& at, actions& out) {
-    const auto claims = state.claiming;
+void drop_moved_claims(ledger& state, const event_time& at, actions& out) {
+    const auto claims = state.pending_claims;
     for (const auto& key : claims) {
         key_entry& entry = state.keys.at(key);
-        if (owns(state.self, key, state.mine.owners) && !detail::blocked(state, key)) {
+        if (owns(state.self, key, state.own_record.owners) && !detail::owned_by_other(state, key)) {
             detail::mark_dirty(state, key, entry);
             continue;
         }
         detail::release(state, key, entry);
-        detail::refuse_waiters(state, entry,
-                               {base::code::once_handover, base::execution_state::unknown, soon},
-                               at, out);
+        detail::refuse_waiters(
+            state, entry,
+            {base::code::once_handover, base::execution_state::unknown, default_retry_after}, at,
+            out);
     }
 }
 
 // A read of the members alone changes nothing about what may run: an owner that gave keys up may
 // have run them before, and only the journal, read at the same revision, says so.
-void take_members(ledger& state, const pool_state& read, const moment& at) {
-    auto others = read.records;
-    others.erase(state.self);
-    state.read_wanted = state.read_wanted || others != state.others;
-    note_missing(state, read, at);
+void apply_members(ledger& state, const pool_state& read, const event_time& at) {
+    auto other_records = read.records;
+    other_records.erase(state.self);
+    state.pool_read_needed = state.pool_read_needed || other_records != state.other_records;
+    record_missing(state, read, at);
 }
 
-bool handover_awaited(const ledger& state) {
-    return std::any_of(state.others.begin(), state.others.end(), [&state](const auto& other) {
-        return !other.second.closed && other.second.owners != state.mine.owners;
-    });
+bool handover_pending(const ledger& state) {
+    return std::any_of(
+        state.other_records.begin(), state.other_records.end(), [&state](const auto& other) {
+            return !other.second.closed && other.second.owners != state.own_record.owners;
+        });
 }
 
-void take_pool(ledger& state, const ports::snapshot& answer, const pool_state& read,
-               const moment& at, actions& out) {
-    note_missing(state, read, at);
-    state.others = read.records;
-    state.others.erase(state.self);
-    state.others_revision = read.revisions;
+void apply_pool(ledger& state, const ports::snapshot& answer, const pool_state& read,
+                const event_time& at, actions& out) {
+    record_missing(state, read, at);
+    state.other_records = read.records;
+    state.other_records.erase(state.self);
+    state.other_revisions = read.revisions;
     for (const auto& [agent, record] : read.records) {
         state.suspect_until_ms = std::max(state.suspect_until_ms, unrecorded_until(record));
     }
     detail::merge_journal(state, detail::read_journal(state, answer, at));
-    detail::settle_asking(state, at, out);
-    state.read_wanted = false;
-    if (handover_awaited(state)) {
+    detail::resolve_outcome_queries(state, at, out);
+    state.pool_read_needed = false;
+    if (handover_pending(state)) {
         state.next_members_read =
             std::min(state.next_members_read, at.now + state.rules.handover_period);
     }
     if (state.state == phase::reading) {
         state.state = phase::active;
-        drop_lost_claims(state, at, out);
+        drop_moved_claims(state, at, out);
     }
 }
 
 bool record_outdated(const ledger& state) {
-    return desired_owners(state) != state.mine.owners ||
-           state.wanted.outage_grace != state.mine.outage_grace || state.lease != state.alive_lease;
+    return desired_owners(state) != state.own_record.owners ||
+           state.configured.outage_grace != state.own_record.outage_grace ||
+           state.lease != state.alive_lease;
 }
 
-void note_platform(ledger& state, bool reached, const moment& at) {
+void record_platform_result(ledger& state, bool reached, const event_time& at) {
     if (reached) {
-        state.down_since.reset();
+        state.platform_down_since.reset();
     } else {
-        state.down_since = state.down_since.value_or(at.now);
-        state.next_try = at.now + state.rules.retry_after_failure;
+        state.platform_down_since = state.platform_down_since.value_or(at.now);
+        state.retry_at = at.now + state.rules.retry_after_failure;
         // An absence counts only where it was watched without a gap.
         state.missing_since.clear();
     }
 }
 
-void advance_active(ledger& state, const moment& at, actions& out) {
+void advance_active(ledger& state, const event_time& at, actions& out) {
     if (record_outdated(state)) {
-        state.proposed.life = state.mine.life;
-        start_record(state, false, at, out);
+        state.proposed_record.incarnation = state.own_record.incarnation;
+        start_record_write(state, false, at, out);
         return;
     }
     if (at.now >= state.next_members_read) {
-        const auto periods =
-            std::max<std::size_t>(1, state.wanted.owners.size() / state.rules.owners_a_period);
-        const auto period = handover_awaited(state)
+        const auto periods = std::max<std::size_t>(1, state.configured.owners.size() /
+                                                          state.rules.owners_per_period);
+        const auto period = handover_pending(state)
                                 ? state.rules.handover_period
                                 : state.rules.members_period * static_cast<int>(periods);
         state.next_members_read = at.now + period;
@@ -307,7 +310,7 @@
         start_read(state, operation::read_members, members_prefix(state.pool), out);
         return;
     }
-    if (state.read_wanted && at.now >= state.next_pool_read) {
+    if (state.pool_read_needed && at.now >= state.next_pool_read) {
         state.next_pool_read = at.now + state.rules.pool_read_period;
         start_read(state, operation::read_pool, pool_prefix(state.pool), out);
         return;
@@ -316,72 +319,72 @@
         start_closing_other(state, *other, at, out);
         return;
     }
-    if (!state.dirty.empty()) {
-        start_journal(state, out);
+    if (!state.dirty_segments.empty()) {
+        start_journal_write(state, out);
     }
 }
 
-void advance_closing(ledger& state, const moment& at, actions& out) {
-    if (state.read_wanted && at.now >= state.next_pool_read) {
+void advance_closing(ledger& state, const event_time& at, actions& out) {
+    if (state.pool_read_needed && at.now >= state.next_pool_read) {
         state.next_pool_read = at.now + state.rules.pool_read_period;
         start_read(state, operation::read_pool, pool_prefix(state.pool), out);
-    } else if (!state.claiming.empty()) {
-        start_journal(state, out);
-    } else if (nothing_running(state)) {
-        state.proposed.life = state.mine.life;
-        start_record(state, true, at, out);
+    } else if (!state.pending_claims.empty()) {
+        start_journal_write(state, out);
+    } else if (is_idle(state)) {
+        state.proposed_record.incarnation = state.own_record.incarnation;
+        start_record_write(state, true, at, out);
     }
 }
 
 } // namespace
 
-actions on_read(ledger& state, const base::result<ports::snapshot>& answer, const moment& at) {
+actions on_read(ledger& state, const base::result<ports::snapshot>& answer, const event_time& at) {
     actions out;
-    const operation kind = state.pending;
-    state.pending = operation::none;
-    note_platform(state, answer.has_value(), at);
+    const operation kind = state.pending_call;
+    state.pending_call = operation::none;
+    record_platform_result(state, answer.has_value(), at);
     if (!answer.has_value()) {
-        detail::settle_claims(state, at, out);
-        detail::settle_asking(state, at, out);
+        detail::resolve_pending_claims(state, at, out);
+        detail::resolve_outcome_queries(state, at, out);
         return out;
     }
     const pool_state read = read_members(state, answer.value());
     const bool undecided = state.state == phase::joining || state.state == phase::closing;
     if (undecided && took_effect(state, read)) {
-        adopt_proposal(state, read.revisions.at(state.self));
+        adopt_proposed_record(state, read.revisions.at(state.self));
     }
     if (state.state == phase::closing) {
         state.state = still_ours(state, read) ? phase::closing : phase::closed;
-        state.read_wanted = false;
+        state.pool_read_needed = false;
     } else if (state.state == phase::joining) {
-        note_missing(state, read, at);
+        record_missing(state, read, at);
         join(state, read, at, out);
     } else if (state.state == phase::closed) {
         return out;
     } else if (!still_ours(state, read)) {
         state.state = phase::joining;
-        state.read_wanted = true;
+        state.pool_read_needed = true;
     } else if (kind == operation::read_pool) {
-        take_pool(state, answer.value(), read, at, out);
+        apply_pool(state, answer.value(), read, at, out);
     } else {
-        take_members(state, read, at);
+        apply_members(state, read, at);
     }
     detail::advance(state, at, out);
     return out;
 }
 
 actions on_committed(ledger& state, const base::result<ports::commit_result>& answer,
-                     const moment& at) {
+                     const event_time& at) {
     actions out;
-    const operation kind = state.pending;
-    state.pending = operation::none;
-    note_platform(state, answer.has_value(), at);
+    const operation kind = state.pending_call;
+    state.pending_call = operation::none;
+    record_platform_result(state, answer.has_value(), at);
     const bool applied = answer.has_value() && answer.value().applied;
     if (kind == operation::close_other) {
-        state.read_wanted = true;
+        state.pool_read_needed = true;
     } else if (!applied) {
-        detail::redo_writing(state);
-        state.read_wanted = true;
+        detail::requeue_segments_in_flight(state);
+        state.pool_read_needed = true;
         // A record's fate must be known before anything is done; a journal's write is simply read
         // back, since each of them says again all that it has to say.
         if (kind == operation::write_journal && state.state == phase::active &&
@@ -389,26 +392,26 @@
             state.state = phase::reading;
         }
     } else {
-        detail::note_written(state, answer.value().revision);
-        const auto claims = std::move(state.writing_claims);
-        state.writing_claims.clear();
+        detail::mark_segments_written(state, answer.value().revision);
+        const auto claims = std::move(state.claims_in_flight);
+        state.claims_in_flight.clear();
         if (kind == operation::write_record) {
-            adopt_proposal(state, answer.value().revision);
+            adopt_proposed_record(state, answer.value().revision);
         } else {
             detail::run_claims(state, claims, at, out);
         }
     }
-    detail::settle_claims(state, at, out);
+    detail::resolve_pending_claims(state, at, out);
     detail::advance(state, at, out);
     return out;
 }
 
 namespace detail {
 
-void advance(ledger& state, const moment& at, actions& out) {
-    const bool over = state.state == phase::superseded || state.state == phase::closed;
-    if (state.pending != operation::none || over || at.now < state.next_try || state.lease == 0 ||
-        state.wanted.owners.empty()) {
+void advance(ledger& state, const event_time& at, actions& out) {
+    const bool terminated = state.state == phase::superseded || state.state == phase::closed;
+    if (state.pending_call != operation::none || terminated || at.now < state.retry_at ||
+        state.lease == 0 || state.configured.owners.empty()) {
         return;
     }
     switch (state.state) {
--- a/src/once/ledger_orders.cpp
+++ b/src/once/ledger_requests.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr base::milliseconds soon{1000};
-constexpr base::micros tombstone_life = base::seconds(600);
+constexpr base::milliseconds default_retry_after{1000};
+constexpr base::micros tombstone_ttl = base::seconds(600);
 
 void refuse(actions& out, const order& request, base::code number, base::execution_state ran,
             base::milliseconds retry_after = base::milliseconds{0}) {
@@ -16,48 +16,52 @@
 }
 
 // Refuses an attempt for good: a second copy of its order, late on its way, must not run either.
-void refuse_not_run(ledger& state, actions& out, const order& request, base::code number,
-                    const moment& at) {
+void refuse_permanently(ledger& state, actions& out, const order& request, base::code number,
+                        const event_time& at) {
     state.tombstones[request.attempt] = at.now;
     refuse(out, request, number, base::execution_state::not_run);
 }
 
 // An order for a key that this agent knows.
-void answer_known(ledger& state, key_entry& entry, const order& request, const moment& at,
-                  actions& out) {
+void handle_known_key(ledger& state, key_entry& entry, const order& request, const event_time& at,
+                      actions& out) {
     if (entry.fingerprint != request.fingerprint) {
-        refuse_not_run(state, out, request, base::code::key_reused_for_other_request, at);
+        refuse_permanently(state, out, request, base::code::key_reused_for_other_request, at);
         return;
     }
     entry.waiters.push_back(request.attempt);
     if (entry.phase == key_phase::completed) {
-        detail::answer_waiters(entry, out);
+        detail::respond_to_waiters(entry, out);
     } else if (entry.phase == key_phase::unknown) {
         // The one who ran it may have recorded the outcome since we last read.
-        state.asking.insert(request.key);
-        state.read_wanted = true;
-        if (state.down_since) {
-            detail::settle_asking(state, at, out);
+        state.outcome_queries.insert(request.key);
+        state.pool_read_needed = true;
+        if (state.platform_down_since) {
+            detail::resolve_outcome_queries(state, at, out);
         }
     }
 }
 
 // Whether this agent may decide about a key that it does not know.
-bool decides(const ledger& state, const order& request, const moment& at, actions& out) {
-    if (state.state != phase::active || (state.not_before && at.now < *state.not_before)) {
+bool accepts_new_key(const ledger& state, const order& request, const event_time& at,
+                     actions& out) {
+    if (state.state != phase::active || (state.earliest_run && at.now < *state.earliest_run)) {
         // What earlier owners and lives ran is not read yet, so nothing can be ruled out.
-        refuse(out, request, base::code::once_handover, base::execution_state::unknown, soon);
+        refuse(out, request, base::code::once_handover, base::execution_state::unknown,
+               default_retry_after);
         return false;
     }
-    if (!owns(state.self, request.key, state.mine.owners)) {
-        refuse(out, request, base::code::once_not_owner, base::execution_state::unknown, soon);
+    if (!owns(state.self, request.key, state.own_record.owners)) {
+        refuse(out, request, base::code::once_not_owner, base::execution_state::unknown,
+               default_retry_after);
         return false;
     }
-    if (detail::blocked(state, request.key)) {
-        refuse(out, request, base::code::once_handover, base::execution_state::unknown, soon);
+    if (detail::owned_by_other(state, request.key)) {
+        refuse(out, request, base::code::once_handover, base::execution_state::unknown,
+               default_retry_after);
         return false;
     }
-    if (detail::suspected(state, request.key)) {
+    if (detail::may_have_run_unrecorded(state, request.key)) {
         refuse(out, request, base::code::once_outcome_unknown, base::execution_state::unknown);
         return false;
     }
@@ -66,7 +70,7 @@
 
 } // namespace
 
-actions on_order(ledger& state, const order& request, const moment& at) {
+actions on_order(ledger& state, const order& request, const event_time& at) {
     actions out;
     // An order that comes after it was called off must not run: its entry has been told that it
     // won't. Whether an earlier copy of it ran before that is not said again here.
@@ -76,11 +80,11 @@
     }
     const auto found = state.keys.find(request.key);
     if (found != state.keys.end() && found->second.phase != key_phase::released) {
-        answer_known(state, found->second, request, at, out);
+        handle_known_key(state, found->second, request, at, out);
         detail::advance(state, at, out);
         return out;
     }
-    if (!decides(state, request, at, out)) {
+    if (!accepts_new_key(state, request, at, out)) {
         return out;
     }
     key_entry& entry = state.keys[request.key];
@@ -90,32 +94,32 @@
     entry.claimed_at_ms = at.wall_ms;
     entry.deadline = request.deadline;
     entry.waiters = {request.attempt};
-    state.claiming.insert(request.key);
+    state.pending_claims.insert(request.key);
     detail::mark_dirty(state, request.key, entry);
-    detail::settle_claims(state, at, out);
+    detail::resolve_pending_claims(state, at, out);
     detail::advance(state, at, out);
     return out;
 }
 
-actions on_ended(ledger& state, const base::idempotency_key& key, kept_answer answer,
-                 const moment& at) {
+actions on_completed(ledger& state, const base::idempotency_key& key, recorded_response response,
+                     const event_time& at) {
     actions out;
     const auto found = state.keys.find(key);
     if (found == state.keys.end()) {
         return out;
     }
     key_entry& entry = found->second;
-    state.claiming.erase(key);
+    state.pending_claims.erase(key);
     entry.phase = key_phase::completed;
-    entry.answer = std::move(answer);
-    detail::answer_waiters(entry, out);
+    entry.response = std::move(response);
+    detail::respond_to_waiters(entry, out);
     detail::mark_dirty(state, key, entry);
     detail::advance(state, at, out);
     return out;
 }
 
 actions on_failed(ledger& state, const base::idempotency_key& key, base::code number,
-                  base::execution_state ran, const moment& at) {
+                  base::execution_state ran, const event_time& at) {
     actions out;
     const auto found = state.keys.find(key);
     if (found == state.keys.end()) {
@@ -124,12 +128,13 @@
     key_entry& entry = found->second;
     if (ran == base::execution_state::not_run) {
         detail::release(state, key, entry);
-        detail::refuse_waiters(state, entry, {number, base::execution_state::not_run, soon}, at,
-                               out);
+        detail::refuse_waiters(
+            state, entry, {number, base::execution_state::not_run, default_retry_after}, at, out);
     } else {
         entry.phase = key_phase::unknown;
         detail::refuse_waiters(
-            state, entry, {base::code::once_outcome_unknown, base::execution_state::unknown, soon},
+            state, entry,
+            {base::code::once_outcome_unknown, base::execution_state::unknown, default_retry_after},
             at, out);
     }
     detail::advance(state, at, out);
@@ -137,17 +142,17 @@
 }
 
 actions on_tombstone(ledger& state, const base::attempt_id& attempt,
-                     const base::idempotency_key& key, const moment& at) {
+                     const base::idempotency_key& key, const event_time& at) {
     actions out;
     state.tombstones[attempt] = at.now;
     const auto found = state.keys.find(key);
     const bool known = found != state.keys.end() && found->second.phase != key_phase::released;
     if (!known) {
         // Nothing of this key ran here. Whether it ran elsewhere is certain only for its owner.
-        const bool certain = state.state == phase::active &&
-                             owns(state.self, key, state.mine.owners) &&
-                             !detail::blocked(state, key) && !detail::suspected(state, key) &&
-                             detail::ownership_certain(state, at.now);
+        const bool certain =
+            state.state == phase::active && owns(state.self, key, state.own_record.owners) &&
+            !detail::owned_by_other(state, key) && !detail::may_have_run_unrecorded(state, key) &&
+            detail::ownership_certain(state, at.now);
         out.push_back(tombstoned_action{attempt, certain ? base::execution_state::not_run
                                                          : base::execution_state::unknown});
         return out;
@@ -168,8 +173,8 @@
     return out;
 }
 
-void on_caller_gone(ledger& state, const base::attempt_id& attempt,
-                    const base::idempotency_key& key) {
+void on_client_disconnected(ledger& state, const base::attempt_id& attempt,
+                            const base::idempotency_key& key) {
     const auto found = state.keys.find(key);
     if (found != state.keys.end()) {
         std::erase(found->second.waiters, attempt);
@@ -182,15 +187,15 @@
 
 void run(ledger& state, const base::idempotency_key& key, key_entry& entry, actions& out) {
     entry.phase = key_phase::running;
-    state.claiming.erase(key);
+    state.pending_claims.erase(key);
     const auto attempt = entry.waiters.empty() ? base::attempt_id{} : entry.waiters.front();
-    out.push_back(run_action{key, attempt, state.fence});
+    out.push_back(run_action{key, attempt, state.fence_revision});
 }
 
 } // namespace
 
-void run_claims(ledger& state, const std::vector<base::idempotency_key>& written, const moment& at,
-                actions& out) {
+void run_claims(ledger& state, const std::vector<base::idempotency_key>& written,
+                const event_time& at, actions& out) {
     for (const auto& key : written) {
         const auto found = state.keys.find(key);
         if (found == state.keys.end() || found->second.phase != key_phase::claiming) {
@@ -201,24 +206,26 @@
         // answered by now, so the call would be work that nobody waits for: it must not leave.
         if (at.now >= entry.deadline) {
             release(state, key, entry);
-            refuse_waiters(state, entry,
-                           {base::code::timed_out, base::execution_state::not_run, soon}, at, out);
+            refuse_waiters(
+                state, entry,
+                {base::code::timed_out, base::execution_state::not_run, default_retry_after}, at,
+                out);
             continue;
         }
         run(state, key, entry, out);
     }
 }
 
-void settle_claims(ledger& state, const moment& at, actions& out) {
+void resolve_pending_claims(ledger& state, const event_time& at, actions& out) {
     // One lost answer is no outage: the next try may well succeed in time. In an outage that has
     // lasted, waiting would only keep the caller from its answer.
-    const bool known_outage =
-        state.down_since && at.now >= *state.down_since + state.rules.claim_wait;
-    const auto claims = state.claiming;
+    const bool known_outage = state.platform_down_since &&
+                              at.now >= *state.platform_down_since + state.rules.max_claim_wait;
+    const auto claims = state.pending_claims;
     for (const auto& key : claims) {
         key_entry& entry = state.keys.at(key);
         const bool waited =
-            at.now >= entry.claimed_at + state.rules.claim_wait || at.now >= entry.deadline;
+            at.now >= entry.claimed_at + state.rules.max_claim_wait || at.now >= entry.deadline;
         if (!waited && !known_outage) {
             continue;
         }
@@ -232,10 +239,11 @@
         // as long as nobody can have taken it over from us.
         const auto ran = ownership_certain(state, at.now) ? base::execution_state::not_run
                                                           : base::execution_state::unknown;
-        refuse_waiters(state, entry, {base::code::once_cannot_record, ran, soon}, at, out);
+        refuse_waiters(state, entry, {base::code::once_cannot_record, ran, default_retry_after}, at,
+                       out);
     }
     std::erase_if(state.tombstones,
-                  [&at](const auto& item) { return at.now > item.second + tombstone_life; });
+                  [&at](const auto& item) { return at.now > item.second + tombstone_ttl; });
 }
 
 } // namespace detail
--- a/src/once/ownership_tests.cpp
+++ b/src/once/ownership_tests.cpp
@@ -1,6 +1,6 @@
-#include "once/dated_key.h"
 #include "once/ownership.h"
 #include "once/records.h"
+#include "once/timestamped_key.h"
 
 #include <catch2/catch.hpp>
 
@@ -39,10 +39,10 @@
 }
 
 TEST_CASE("dated keys", "[once]") {
-    CHECK(once::made_at_ms({"quay/017f22e2-79b0-7cc3-98c4-dc0c0c07398f"}) == 1645557742000);
-    CHECK_FALSE(once::made_at_ms({"quay/017f22e2-79b0-4cc3-98c4-dc0c0c07398f"}));
-    CHECK_FALSE(once::made_at_ms({"quay/slot 17"}));
-    CHECK_FALSE(once::made_at_ms({""}));
+    CHECK(once::creation_time_ms({"quay/017f22e2-79b0-7cc3-98c4-dc0c0c07398f"}) == 1645557742000);
+    CHECK_FALSE(once::creation_time_ms({"quay/017f22e2-79b0-4cc3-98c4-dc0c0c07398f"}));
+    CHECK_FALSE(once::creation_time_ms({"quay/slot 17"}));
+    CHECK_FALSE(once::creation_time_ms({""}));
 }
 
 TEST_CASE("records in the platform", "[once]") {
@@ -53,7 +53,7 @@
         const once::segment written{
             {{"k"}, "p", once::outcome::completed, {200, "t", "\xff\n", true}, 9}};
         const auto read = once::parse_segment(once::to_text(written)).value();
-        CHECK(read.at(0).answer == written[0].answer);
+        CHECK(read.at(0).response == written[0].response);
     }
 
     SECTION("that are damaged are refused") {
--- a/src/once/records.cpp
+++ b/src/once/records.cpp
@@ -13,7 +13,7 @@
 
 constexpr int number_width = 9;
 
-std::string binary_text(const std::string& bytes) {
+std::string hex_encode(const std::string& bytes) {
     static constexpr const char* digits = "0123456789abcdef";
     std::string hex;
     hex.reserve(bytes.size() * 2);
@@ -24,7 +24,7 @@
     return hex;
 }
 
-std::string text_binary(const std::string& hex) {
+std::string hex_decode(const std::string& hex) {
     std::string bytes;
     for (std::size_t place = 0; place + 1 < hex.size(); place += 2) {
         bytes += static_cast<char>(std::stoi(hex.substr(place, 2), nullptr, 16));
@@ -38,10 +38,10 @@
                 {"state", static_cast<int>(record.state)},
                 {"at", record.claimed_at_ms}};
     if (record.state == outcome::completed) {
-        fields["status"] = record.answer.status;
-        fields["type"] = record.answer.content_type;
-        fields["kept"] = record.answer.body_kept;
-        fields["body"] = binary_text(record.answer.body);
+        fields["status"] = record.response.status;
+        fields["type"] = record.response.content_type;
+        fields["kept"] = record.response.body_recorded;
+        fields["body"] = hex_encode(record.response.body);
     }
     return fields;
 }
@@ -53,9 +53,9 @@
     record.state = static_cast<outcome>(fields.at("state").get<int>());
     record.claimed_at_ms = fields.at("at").get<std::int64_t>();
     if (record.state == outcome::completed) {
-        record.answer = {fields.at("status").get<int>(), fields.at("type").get<std::string>(),
-                         text_binary(fields.at("body").get<std::string>()),
-                         fields.at("kept").get<bool>()};
+        record.response = {fields.at("status").get<int>(), fields.at("type").get<std::string>(),
+                           hex_decode(fields.at("body").get<std::string>()),
+                           fields.at("kept").get<bool>()};
     }
     return record;
 }
@@ -74,7 +74,7 @@
         owners.push_back(owner.value);
     }
     return json{{"agent", record.agent.value},
-                {"life", record.life.value},
+                {"life", record.incarnation.value},
                 {"nonce", record.nonce},
                 {"owners", owners},
                 {"closed", record.closed},
@@ -90,7 +90,7 @@
         const json fields = json::parse(text);
         owner_record record;
         record.agent.value = fields.at("agent").get<std::string>();
-        record.life.value = fields.at("life").get<std::int64_t>();
+        record.incarnation.value = fields.at("life").get<std::int64_t>();
         record.nonce = fields.at("nonce").get<std::string>();
         for (const auto& owner : fields.at("owners")) {
             record.owners.push_back({owner.get<std::string>()});
@@ -147,8 +147,9 @@
 }
 
 std::string segment_key(const base::pool_id& pool, const base::upstream_id& agent,
-                        base::incarnation life, std::int64_t number) {
-    return journal_prefix(pool) + agent.value + "/" + padded(life.value) + "/" + padded(number);
+                        base::incarnation incarnation, std::int64_t number) {
+    return journal_prefix(pool) + agent.value + "/" + padded(incarnation.value) + "/" +
+           padded(number);
 }
 
 } // namespace camphorrail::once
--- a/src/once/records.h
+++ b/src/once/records.h
@@ -14,7 +14,7 @@
 // agent's name; the revision of its last change fences every write of that agent.
 struct owner_record {
     base::upstream_id agent;
-    base::incarnation life;
+    base::incarnation incarnation;
     // Tells a write of ours whose answer was lost from one by someone else.
     std::string nonce;
     // The owners by which this agent tells whose a key is.
@@ -35,14 +35,14 @@
 enum class outcome { claimed, completed, released };
 
 // The upstream's whole answer, kept for a caller that asks again.
-struct kept_answer {
+struct recorded_response {
     int status = 0;
     std::string content_type;
     std::string body;
     // False where the body was too long to keep in the platform and the agent's memory is gone.
-    bool body_kept = true;
+    bool body_recorded = true;
 
-    bool operator==(const kept_answer&) const = default;
+    bool operator==(const recorded_response&) const = default;
 };
 
 // One key in the journal.
@@ -50,7 +50,7 @@
     base::idempotency_key key;
     std::string fingerprint;
     outcome state = outcome::claimed;
-    kept_answer answer;
+    recorded_response response;
     std::int64_t claimed_at_ms = 0;
 };
 
@@ -68,6 +68,6 @@
 std::string alive_key(const base::pool_id& pool, const base::upstream_id& agent);
 std::string journal_prefix(const base::pool_id& pool);
 std::string segment_key(const base::pool_id& pool, const base::upstream_id& agent,
-                        base::incarnation life, std::int64_t number);
+                        base::incarnation incarnation, std::int64_t number);
 
 } // namespace camphorrail::once
--- a/src/once/schedule_tests.cpp
+++ b/src/once/schedule_tests.cpp
@@ -19,7 +19,7 @@
     return given == nullptr ? in_ci : std::atoi(given);
 }
 
-struct tally {
+struct totals {
     int schedules = 0;
     int with_violations = 0;
     int keys = 0;
@@ -27,13 +27,13 @@
     int answered = 0;
     int not_run = 0;
     int unknown = 0;
-    std::map<std::string, int> kinds;
+    std::map<std::string, int> violation_kinds;
     std::string first;
 };
 
 // Runs schedules; with `to_first`, only until one has a violation.
-tally run_many(int count, planted fault, bool to_first = false) {
-    tally total;
+totals run_schedules(int count, planted fault, bool stop_at_first = false) {
+    totals total;
     for (int seed = 1; seed <= count; ++seed) {
         const auto found =
             once_world::check(once_world::run_schedule(static_cast<std::uint64_t>(seed), fault));
@@ -45,7 +45,7 @@
         total.unknown += found.unknown;
         total.with_violations += found.violations.empty() ? 0 : 1;
         for (const auto& violation : found.violations) {
-            ++total.kinds[violation.substr(0, violation.find(':'))];
+            ++total.violation_kinds[violation.substr(0, violation.find(':'))];
             if (std::getenv("CAMPHORRAIL_VERBOSE") != nullptr) {
                 std::cout << "seed " << seed << ": " << violation << "\n";
             }
@@ -53,7 +53,7 @@
                 total.first = "seed " + std::to_string(seed) + ": " + violation;
             }
         }
-        if (to_first && total.with_violations > 0) {
+        if (stop_at_first && total.with_violations > 0) {
             break;
         }
     }
@@ -67,12 +67,12 @@
 // answers of the platform get lost after the write took effect, or the write itself comes seconds
 // late; operators move keys between owners. No call may run twice, and "not run" must be true.
 TEST_CASE("calls run at most once under random faults", "[once][schedule]") {
-    const auto total = run_many(schedule_count(), planted::nothing);
+    const auto total = run_schedules(schedule_count(), planted::nothing);
     std::cout << "schedules " << total.schedules << ", with violations " << total.with_violations
               << ", keys " << total.keys << ", run " << total.keys_run << ", answered "
               << total.answered << ", not run " << total.not_run << ", unknown " << total.unknown
               << "\n";
-    for (const auto& [kind, count] : total.kinds) {
+    for (const auto& [kind, count] : total.violation_kinds) {
         std::cout << "  " << kind << ": " << count << "\n";
     }
     INFO(total.first);
@@ -97,8 +97,8 @@
         GENERATE(planted::no_fence, planted::no_segment_revision, planted::no_journal_read,
                  planted::no_handover, planted::no_deadline, planted::no_tombstones,
                  planted::no_lease_check, planted::no_suspicion);
-    constexpr int most_schedules = 5000;
-    const auto total = run_many(most_schedules, fault, true);
+    constexpr int max_schedules = 5000;
+    const auto total = run_schedules(max_schedules, fault, true);
     std::cout << "planted fault " << static_cast<int>(fault) << ": noticed after "
               << total.schedules << " schedules (" << total.first << ")\n";
     CHECK(total.with_violations > 0);
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -1,7 +1,7 @@
 #include "proxy/kv_store_follower.h"
 
 #include "adapters/http_client.h"
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 #include "proxy/control_call.h"
 
 #include <utility>
@@ -66,7 +66,7 @@
 
 bool kv_store_follower::is_our_turn(const std::string& address, const followed_store& store) const {
     const std::size_t place =
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, address);
+        entries::duty_rank(this->linked_entries(), this->context.settings.id, address);
     const auto known = this->context.state.stored_prompts.find(address);
     const bool down = known != this->context.state.stored_prompts.end() && known->second.down;
     const auto unheard = this->context.now() - store.told_at;
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -1,7 +1,7 @@
 #include "proxy/leadership.h"
 
 #include "base/hash.h"
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 #include <algorithm>
 
@@ -144,7 +144,7 @@
 // Whether all that come before this entry in line have had their turn to take the vacant lead.
 bool leadership::is_our_turn() const {
     const auto place = static_cast<std::int64_t>(
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, duty));
+        entries::duty_rank(this->linked_entries(), this->context.settings.id, duty));
     const auto wait = std::min(campaign_step * place, longest_campaign_wait);
     return this->vacant_since && this->context.now() - *this->vacant_since >= wait;
 }
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -36,8 +36,8 @@
 
 } // namespace
 
-base::milliseconds load_exchange::period(const entries::relays& to) {
-    const auto count = static_cast<std::int64_t>(to.near.size() + to.far.size());
+base::milliseconds load_exchange::period(const entries::relay_targets& to) {
+    const auto count = static_cast<std::int64_t>(to.same_zone.size() + to.zone_relays.size());
     return std::max(period_each * count, least_period);
 }
 
--- a/src/proxy/load_exchange.h
+++ b/src/proxy/load_exchange.h
@@ -23,7 +23,7 @@
     explicit load_exchange(entry_context& context) : context(context) {}
 
     // How long until something is to be told again.
-    [[nodiscard]] static base::milliseconds period(const entries::relays& to);
+    [[nodiscard]] static base::milliseconds period(const entries::relay_targets& to);
     // What the entries of the own zone are to hear now, with what is passed on, and the relays of
     // other zones; nothing where there is no news. `linked`: entries that a link stands to.
     struct news {
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -1,6 +1,6 @@
 #include "proxy/peers.h"
 
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 #include "proxy/store_follower.h"
 #include "proxy/weights_news.h"
 
@@ -72,7 +72,7 @@
 std::map<base::entry_id, std::string> peers::listed() const {
     std::map<base::entry_id, std::string> found;
     const std::string prefix = this->list_prefix();
-    for (const auto& item : mirror::items_below(this->context.state.store, prefix)) {
+    for (const auto& item : mirror::items_with_prefix(this->context.state.store, prefix)) {
         found[{item.key.substr(prefix.size())}] = item.value;
     }
     return found;
@@ -256,14 +256,14 @@
     }
     const auto& settings = this->context.settings;
     const auto relays =
-        entries::choose_relays(linked, settings.id, settings.zone, this->context.now());
+        entries::choose_relay_targets(linked, settings.id, settings.zone, this->context.now());
     this->load_timer.set(load_exchange::period(relays));
     const auto news = this->loads.collect(linked.size());
     if (news.near) {
-        this->tell_to(relays.near, this->frame_of(*news.near));
+        this->tell_to(relays.same_zone, this->frame_of(*news.near));
     }
     if (news.far) {
-        this->tell_to(relays.far, this->frame_of(*news.far));
+        this->tell_to(relays.zone_relays, this->frame_of(*news.far));
     }
 }
 
@@ -281,7 +281,7 @@
     this->next_ask = this->context.now() + ask_period;
     this->drop_silent();
     const auto ahead =
-        entries::ahead_in_line(this->linked(), this->context.settings.id, store_duty_name);
+        entries::duty_parent(this->linked(), this->context.settings.id, store_duty_name);
     if (ahead) {
         const auto found = std::find_if(this->links.begin(), this->links.end(), [&](auto& each) {
             return each.second.open && each.second.id == *ahead;
@@ -426,8 +426,8 @@
         view.confirmed = true;
         view.age = *age;
     }
-    if (store.whole_at) {
-        view.complete_age = this->context.now() - *store.whole_at;
+    if (store.complete_as_of) {
+        view.complete_age = this->context.now() - *store.complete_as_of;
     }
     auto since = mirror::changes_since(store, message.revision);
     view.complete = !since;
@@ -457,13 +457,13 @@
     const auto before = mirror::age(store, this->context.now());
     std::set<std::string> changed;
     if (view.complete) {
-        changed = mirror::take_snapshot(store, snapshot_of(view.changes), proved);
+        changed = mirror::apply_snapshot(store, snapshot_of(view.changes), proved);
     } else {
-        changed = mirror::take_changes(store, view.changes);
-        mirror::prove(store, proved);
+        changed = mirror::apply_changes(store, view.changes);
+        mirror::mark_verified(store, proved);
     }
     if (view.complete_age) {
-        mirror::note_revision(store, view.changes.revision, asked.asked_at - *view.complete_age);
+        mirror::record_revision(store, view.changes.revision, asked.asked_at - *view.complete_age);
     }
     this->context.log.line(importance::keep, "store_view_from_entry")
         .text("entry", asked.id.value)
--- a/src/proxy/quarantine_records.cpp
+++ b/src/proxy/quarantine_records.cpp
@@ -92,7 +92,7 @@
     const std::string key = this->prefix() + next->first.value;
     const auto& store = this->context.state.store;
     const bool written = store.items.count(key) > 0;
-    const bool full = mirror::items_below(store, this->prefix()).size() >= most_records;
+    const bool full = mirror::items_with_prefix(store, this->prefix()).size() >= most_records;
     if (written || full || !this->is_held(next->first)) {
         this->unwritten.erase(next);
         return;
@@ -104,7 +104,7 @@
 }
 
 void quarantine_records::erase_next() {
-    for (const auto& item : mirror::items_below(this->context.state.store, this->prefix())) {
+    for (const auto& item : mirror::items_with_prefix(this->context.state.store, this->prefix())) {
         if (this->is_held({item.key.substr(this->prefix().size())})) {
             continue;
         }
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -606,7 +606,7 @@
         world.call_until(prompt("stream", "r1"), [&] {
             if (!waits && !world.engine.requests.empty()) {
                 waits = true;
-                world.state.store.proved_at = seen_long_ago();
+                world.state.store.verified_at = seen_long_ago();
                 world.renew_begin_deadlines();
             }
             return world.last_seen().ended || !world.last_seen().heads.empty();
@@ -620,7 +620,7 @@
         base::instant until{};
         world.call_until(prompt("stream", "r1"), [&] {
             if (until == base::instant{} && !world.engine.requests.empty()) {
-                world.state.store.proved_at = seen_long_ago();
+                world.state.store.verified_at = seen_long_ago();
                 world.renew_begin_deadlines();
                 world.prove_config();
                 until = world.entry().now() + base::milliseconds(300);
@@ -631,7 +631,7 @@
         CHECK_FALSE(world.last_seen().ended);
     }
     SECTION("and none is sent") {
-        world.state.store.proved_at = seen_long_ago();
+        world.state.store.verified_at = seen_long_ago();
         const ports::client_request facts{.request_id = "r1", .model = {"desk-8b"}};
         CHECK_FALSE(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &facts}));
         world.prove_config();
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -1,6 +1,6 @@
 #include "proxy/store_follower.h"
 
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 namespace camphorrail::proxy {
 
@@ -24,25 +24,24 @@
 
 store_follower::store_follower(entry_context& context, ports::platform platform)
     : context(context), platform(std::move(platform)) {
-    this->rules.proof_period = context.settings.platform.poll;
+    this->rules.verification_interval = context.settings.platform.poll;
 }
 
 void store_follower::start() {
     this->tick();
 }
 
-entries::store_duty_view store_follower::view() const {
-    return {
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, store_duty_name),
-        mirror::age(this->context.state.store, this->context.now()), this->context.now()};
+entries::store_sync_view store_follower::view() const {
+    return {entries::duty_rank(this->linked_entries(), this->context.settings.id, store_duty_name),
+            mirror::age(this->context.state.store, this->context.now()), this->context.now()};
 }
 
 bool store_follower::proving() const {
-    return this->view().place == 0;
+    return this->view().rank == 0;
 }
 
 void store_follower::tick() {
-    const bool before = this->duty.following;
+    const bool before = this->duty.watches_store;
     const auto due = entries::next_store_calls(this->duty, this->view(), this->rules);
     this->note_following(before);
     if (due.read) {
@@ -51,13 +50,13 @@
     if (due.watch) {
         this->watch();
     }
-    if (due.prove) {
+    if (due.verify) {
         this->prove();
     }
 }
 
 void store_follower::note_following(bool before) {
-    if (this->duty.following == before) {
+    if (this->duty.watches_store == before) {
         return;
     }
     this->context.log.line(importance::keep, before ? "store_left" : "store_followed")
@@ -66,7 +65,7 @@
 }
 
 void store_follower::apply(std::int64_t revision_before, const std::set<std::string>& keys) {
-    if (this->duty.following) {
+    if (this->duty.watches_store) {
         this->tell_changes(revision_before);
     }
     if (!keys.empty()) {
@@ -99,11 +98,11 @@
         if (read.has_value()) {
             auto& store = this->context.state.store;
             const std::int64_t before = store.revision;
-            const auto changed = mirror::take_snapshot(store, read.value(), began);
-            mirror::note_revision(store, read.value().revision, began);
+            const auto changed = mirror::apply_snapshot(store, read.value(), began);
+            mirror::record_revision(store, read.value().revision, began);
             this->apply(before, changed);
         }
-        entries::note_store_read(this->duty, read.has_value(), this->view(), this->rules);
+        entries::record_store_read(this->duty, read.has_value(), this->view(), this->rules);
         this->note_answer(read.has_value());
         if (read.has_value() && first) {
             this->context.log.line(importance::keep, "store_read")
@@ -122,7 +121,7 @@
                              if (answered && !forgotten) {
                                  auto& store = this->context.state.store;
                                  const std::int64_t before = store.revision;
-                                 this->apply(before, mirror::take_changes(store, told.value()));
+                                 this->apply(before, mirror::apply_changes(store, told.value()));
                              }
                              if (mine != this->generation) {
                                  return;
@@ -131,8 +130,8 @@
                                  this->context.log.line(importance::keep, "store_history_lost")
                                      .number("revision", this->context.state.store.revision);
                              }
-                             entries::note_watch_end(this->duty, answered, forgotten, this->view(),
-                                                     this->rules);
+                             entries::record_watch_end(this->duty, answered, forgotten,
+                                                       this->view(), this->rules);
                          });
 }
 
@@ -149,8 +148,8 @@
         // Before the first configuration its absence is what is proved.
         check.preconditions.push_back({this->context.codec.operators_config_key, 0});
     }
-    for (const auto& item : mirror::items_below(this->context.state.store,
-                                                this->context.codec.target_weights_prefix)) {
+    for (const auto& item : mirror::items_with_prefix(this->context.state.store,
+                                                      this->context.codec.target_weights_prefix)) {
         expect(item);
     }
     for (const auto& key : this->unnamed_weights()) {
@@ -184,15 +183,15 @@
     this->platform.commit(
         this->operators_part(), [this, began](base::result<ports::commit_result> answer) {
             auto& store = this->context.state.store;
-            entries::proof_outcome outcome;
+            entries::verification_result outcome;
             outcome.answered = answer.has_value();
             outcome.unchanged = outcome.answered && answer.value().applied;
             outcome.behind = outcome.unchanged && answer.value().revision > store.revision;
             if (outcome.unchanged) {
-                mirror::prove(store, began);
-                mirror::note_revision(store, answer.value().revision, began);
+                mirror::mark_verified(store, began);
+                mirror::record_revision(store, answer.value().revision, began);
             }
-            entries::note_proof(this->duty, outcome, this->view(), this->rules);
+            entries::record_verification(this->duty, outcome, this->view(), this->rules);
             this->note_answer(outcome.answered);
         });
 }
--- a/src/proxy/store_follower.h
+++ b/src/proxy/store_follower.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "entries/store_duty.h"
+#include "entries/store_sync.h"
 #include "peering/messages.h"
 #include "proxy/context.h"
 
@@ -18,7 +18,7 @@
 // conditional read proves, about once a second, that nothing was missed. A quiet watch is no proof:
 // it may be cut off without a sign, and the store may drop history that it has not told.
 //
-// A few entries do so and tell the others, which ask them for proofs; `entries/store_duty.h` says
+// A few entries do so and tell the others, which ask them for proofs; `entries/store_sync.h` says
 // which, and how often. An entry that gets no proof from the others follows the store itself, so
 // none depends on them.
 class store_follower {
@@ -46,14 +46,14 @@
     void note_following(bool before);
     void apply(std::int64_t revision_before, const std::set<std::string>& keys);
     void tell_changes(std::int64_t revision_before) const;
-    [[nodiscard]] entries::store_duty_view view() const;
+    [[nodiscard]] entries::store_sync_view view() const;
     [[nodiscard]] ports::transaction operators_part() const;
     [[nodiscard]] std::set<std::string> unnamed_weights() const;
 
     entry_context& context;
     ports::platform platform;
-    entries::store_duty duty;
-    entries::store_duty_rules rules;
+    entries::store_sync duty;
+    entries::store_sync_rules rules;
     // Watches of an earlier generation have been given up; what they still tell is late, not wrong.
     std::int64_t generation = 0;
     bool reachable = false;
--- a/src/proxy/store_follower_tests.cpp
+++ b/src/proxy/store_follower_tests.cpp
@@ -135,13 +135,13 @@
         tick();
     }
     const auto named_at = world.entry().now();
-    REQUIRE(world.state.store.proved_at >= named_at - base::seconds(2));
+    REQUIRE(world.state.store.verified_at >= named_at - base::seconds(2));
     named = true;
     const auto& store = world.state.store;
     // The store would refuse each proof with a longer one.
     CHECK(longest_key <= 200);
     while (store.items.count(key) == 0) {
-        CHECK(store.proved_at <= named_at);
+        CHECK(store.verified_at <= named_at);
         REQUIRE(world.entry().now() < named_at + base::seconds(10));
         tick();
     }
--- a/src/proxy/store_news.cpp
+++ b/src/proxy/store_news.cpp
@@ -58,7 +58,7 @@
 }
 
 void store_news::apply(const peering::store_changes& told) {
-    const auto keys = mirror::take_changes(this->context.state.store, told.changes);
+    const auto keys = mirror::apply_changes(this->context.state.store, told.changes);
     if (!keys.empty()) {
         this->changed(keys);
     }
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -75,7 +75,7 @@
                                                     const base::model_id& model,
                                                     std::int64_t weights) {
     const auto since = outdated_since(history_of(context.state, model), weights);
-    return since > context.now() ? context.state.store.proved_at : std::optional(since);
+    return since > context.now() ? context.state.store.verified_at : std::optional(since);
 }
 
 // The members that hold the model, without those whose weights are outdated for too long. Weights
--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -56,7 +56,7 @@
                                  const ports::platform_codec& words) {
     upstream_list list;
     std::vector<list_entry> entries;
-    for (const auto& item : mirror::items_below(store, words.upstreams_prefix)) {
+    for (const auto& item : mirror::items_with_prefix(store, words.upstreams_prefix)) {
         auto read = words.parse_upstream(item.key, item.value);
         if (read.has_value()) {
             entries.push_back({std::move(read.value()), item.mod_revision});
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -20,7 +20,7 @@
 // An order whose answer was lost may still be carried out; the upstream is asked after this long.
 constexpr base::milliseconds unanswered_pause{1200};
 // Requests under way finish first, which takes some seconds at most; then the load itself.
-constexpr base::milliseconds longest_load{6000};
+constexpr base::milliseconds max_load_time{6000};
 // The platform's list tells of a finished load up to two seconds late. An upstream's own report is
 // some hundred milliseconds old, and asking for it costs next to nothing beside a load.
 constexpr base::micros first_look = base::milliseconds(450);
@@ -120,7 +120,7 @@
         made.loaded_at = now;
         this->loaded_at[made.id] = now;
     }
-    if (done || waited > longest_load) {
+    if (done || waited > max_load_time) {
         this->orders.erase(sent);
         return made;
     }
--- a/src/proxy/weights_news.cpp
+++ b/src/proxy/weights_news.cpp
@@ -43,7 +43,8 @@
     auto& state = context.state;
     const base::instant now = context.now();
     bool any_new = false;
-    for (const auto& item : mirror::items_below(state.store, context.codec.target_weights_prefix)) {
+    for (const auto& item :
+         mirror::items_with_prefix(state.store, context.codec.target_weights_prefix)) {
         const auto read = context.codec.parse_target_weights(item.value);
         if (!read.has_value()) {
             context.log.line(importance::keep, "weights_unreadable").text("key", item.key);
--- a/src/proxy/weights_news_tests.cpp
+++ b/src/proxy/weights_news_tests.cpp
@@ -28,13 +28,13 @@
 
     // Reads the whole store, in which nothing is named yet.
     void read_all() {
-        mirror::take_snapshot(this->store(), {this->revision, {}}, this->now());
+        mirror::apply_snapshot(this->store(), {this->revision, {}}, this->now());
         this->see_whole();
         proxy::take_named_weights(this->world.entry(), "store");
     }
 
     // The store shows that nothing was missed.
-    void see_whole() { mirror::note_revision(this->store(), this->revision, this->now()); }
+    void see_whole() { mirror::record_revision(this->store(), this->revision, this->now()); }
 
     // A watch tells of a named version.
     void hear_of(std::int64_t version) {
@@ -42,8 +42,8 @@
         const std::string value =
             R"({"model":")" + model.value + R"(","version":)" + std::to_string(version) + "}";
         ++this->revision;
-        mirror::take_changes(this->store(),
-                             {this->revision, {{{key, value, this->revision}, false}}});
+        mirror::apply_changes(this->store(),
+                              {this->revision, {{{key, value, this->revision}, false}}});
         proxy::take_named_weights(this->world.entry(), "store");
     }
 };
--- a/tests/once_world.cpp
+++ b/tests/once_world.cpp
@@ -113,7 +113,7 @@
     void after(micros delay, std::function<void()> action) {
         this->events.push({this->now + delay, this->next_order++, std::move(action)});
     }
-    once::moment moment() const { return {this->now, wall_of(this->now)}; }
+    once::event_time moment() const { return {this->now, wall_of(this->now)}; }
 
     void draw_profile() {
         profile& drawn = this->odds;
@@ -275,13 +275,13 @@
         if (this->fault == planted::no_tombstones) {
             at.ledger.tombstones.clear();
         }
-        if (this->fault == planted::no_lease_check && at.ledger.lease_kept_at) {
-            at.ledger.lease_kept_at = this->now;
+        if (this->fault == planted::no_lease_check && at.ledger.lease_renewed_at) {
+            at.ledger.lease_renewed_at = this->now;
         }
         if (this->fault == planted::no_suspicion) {
             at.ledger.suspect_until_ms = 0;
             at.ledger.joined_wall_ms = 0;
-            at.ledger.not_before.reset();
+            at.ledger.earliest_run.reset();
         }
     }
 
@@ -296,10 +296,10 @@
         rules.takeover_after = seconds(2);
         rules.members_period = seconds(1);
         rules.handover_period = milliseconds(500);
-        rules.claim_wait = seconds(1);
+        rules.max_claim_wait = seconds(1);
         rules.clock_margin = milliseconds(300);
         rules.wall_skew_ms = 50;
-        rules.keys_a_segment = 3;
+        rules.keys_per_segment = 3;
         at.ledger =
             once::make_ledger(this->name(number), {"pool"},
                               this->name(number).value + "#" + std::to_string(at.life), rules);
@@ -340,8 +340,8 @@
                     }
                     agent& at = this->agents[number];
                     at.lease = lease.value();
-                    this->carry_out(number, once::on_lease_kept(at.ledger, lease.value(), sent,
-                                                                this->moment()));
+                    this->carry_out(number, once::on_lease_renewed(at.ledger, lease.value(), sent,
+                                                                   this->moment()));
                 });
             this->after(seconds(1), [this, number, life] { this->renew_lease(number, life); });
         });
@@ -387,16 +387,16 @@
         const std::string text = "answer to " + todo.key.value;
         this->after(this->between(milliseconds(5), seconds(2)), [this, number, life, todo, text] {
             this->deliver(number, life, [this, number, todo, text] {
-                this->carry_out(number,
-                                once::on_ended(this->agents[number].ledger, todo.key,
-                                               {200, "text/plain", text, true}, this->moment()));
+                this->carry_out(number, once::on_completed(this->agents[number].ledger, todo.key,
+                                                           {200, "text/plain", text, true},
+                                                           this->moment()));
             });
         });
     }
 
-    void carry_out_one(int /*number*/, const once::answer_action& todo) {
+    void carry_out_one(int /*number*/, const once::response_action& todo) {
         this->reply(event_record::kind::answered, todo.attempt.value,
-                    base::execution_state::completed, {}, todo.answer.body);
+                    base::execution_state::completed, {}, todo.response.body);
     }
     void carry_out_one(int /*number*/, const once::refuse_action& todo) {
         this->reply(event_record::kind::refused, todo.attempt.value, todo.ran, todo.number, "");
