--- a/src/proxy/crash_detector_tests.cpp
+++ b/src/proxy/crash_detector_tests.cpp
@@ -94,10 +94,10 @@
         tests::proxy_world other;
         other.add_engine("i-1", crash_on_fatal);
         for (const auto& message : world.told) {
-            const auto heard = peering::decode(peering::encode({message}));
-            REQUIRE(heard.has_value());
+            const auto decoded = peering::decode(peering::encode({message}));
+            REQUIRE(decoded.has_value());
             if (const auto* hold =
-                    std::get_if<peering::quarantine_notice>(&heard.value().payload)) {
+                    std::get_if<peering::quarantine_notice>(&decoded.value().payload)) {
                 other.crash_detector().receive({"entry-1"}, *hold, other.entry().now());
             }
         }
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -1,7 +1,7 @@
 #include "proxy/leadership.h"
 
 #include "base/hash.h"
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 #include <algorithm>
 
@@ -145,7 +145,7 @@
 // Whether all that come before this entry in line have had their turn to take the vacant lead.
 bool leadership::is_our_turn() const {
     const auto place = static_cast<std::int64_t>(
-        entries::place_in_line(this->connected_entries(), this->context.settings.id, duty_name));
+        entries::duty_rank(this->connected_entries(), this->context.settings.id, duty_name));
     const auto wait = std::min(campaign_delay_per_place * place, max_campaign_delay);
     return this->vacant_since && this->context.now() - *this->vacant_since >= wait;
 }
--- a/src/proxy/log_events_tests.cpp
+++ b/src/proxy/log_events_tests.cpp
@@ -47,11 +47,11 @@
     const auto events = read_schema();
     REQUIRE(events.size() > 30);
     tests::proxy_world world;
-    int asked = 0;
-    const auto script = [&asked](const tests::engine_request& got) {
+    int request_count = 0;
+    const auto script = [&request_count](const tests::engine_request& got) {
         using step = tests::engine_step;
         const std::string id = got.field("Request-Id");
-        switch (++asked) {
+        switch (++request_count) {
         case 1:
             return tests::engine_script{{step::kind::close, {}}};
         case 2:
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -1,6 +1,6 @@
 #include "proxy/peers.h"
 
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 #include "proxy/store_follower.h"
 #include "proxy/target_weights.h"
 
@@ -23,7 +23,7 @@
 constexpr base::milliseconds connect_retry{700};
 // The entry that proves for all asks others when its own proofs fail: well above their period, well
 // below the age that ends service. The others ask all the time.
-constexpr base::milliseconds query_age_when_confirming{1600};
+constexpr base::milliseconds query_age_when_verifying{1600};
 constexpr base::milliseconds query_age{600};
 constexpr base::milliseconds query_period{300};
 // An entry that answers no ask for this long is cut off too, or its link has fallen silent.
@@ -73,7 +73,7 @@
 std::map<base::entry_id, std::string> peers::registered_entries() const {
     std::map<base::entry_id, std::string> found;
     const std::string prefix = this->registration_prefix();
-    for (const auto& item : mirror::items_below(this->context.state.store, prefix)) {
+    for (const auto& item : mirror::items_with_prefix(this->context.state.store, prefix)) {
         found[{item.key.substr(prefix.size())}] = item.value;
     }
     return found;
@@ -122,10 +122,10 @@
     }
     this->connect_to_new_entries();
     const auto age = mirror::age(this->context.state.store, now);
-    const auto max_age = this->confirms_store() ? query_age_when_confirming : query_age;
-    const bool needs_confirmation = !age || *age > max_age;
+    const auto max_age = this->verifies_store() ? query_age_when_verifying : query_age;
+    const bool needs_verification = !age || *age > max_age;
     const bool needs_query =
-        needs_confirmation || this->query_wanted || needs_target_dates(this->context);
+        needs_verification || this->query_wanted || needs_target_dates(this->context);
     if (now >= this->next_query && !this->is_reading_store() && needs_query) {
         this->query_wanted = false;
         this->query_store();
@@ -260,14 +260,14 @@
     }
     const auto& settings = this->context.settings;
     const auto relays =
-        entries::choose_relays(connected, settings.id, settings.zone, this->context.now());
+        entries::choose_relay_targets(connected, settings.id, settings.zone, this->context.now());
     this->load_timer.set(load_exchange::period(relays));
     const auto reports = this->loads.collect(connected.size());
     if (reports.near) {
-        this->send_to(relays.near, this->encode_frame(*reports.near));
+        this->send_to(relays.same_zone, this->encode_frame(*reports.near));
     }
     if (reports.far) {
-        this->send_to(relays.far, this->encode_frame(*reports.far));
+        this->send_to(relays.zone_relays, this->encode_frame(*reports.far));
     }
 }
 
@@ -284,8 +284,8 @@
 void peers::query_store() {
     this->next_query = this->context.now() + query_period;
     this->drop_unresponsive();
-    const auto ahead = entries::ahead_in_line(this->connected_entries(), this->context.settings.id,
-                                              store_duty_name);
+    const auto ahead =
+        entries::duty_parent(this->connected_entries(), this->context.settings.id, store_duty_name);
     if (ahead) {
         const auto found = std::find_if(this->links.begin(), this->links.end(), [&](auto& peer) {
             return peer.second.open && peer.second.id == *ahead;
@@ -430,8 +430,8 @@
         view.confirmed = true;
         view.age = *age;
     }
-    if (store.whole_at) {
-        view.complete_age = this->context.now() - *store.whole_at;
+    if (store.complete_as_of) {
+        view.complete_age = this->context.now() - *store.complete_as_of;
     }
     auto since = mirror::changes_since(store, message.revision);
     view.complete = !since;
@@ -461,13 +461,13 @@
     const auto before = mirror::age(store, this->context.now());
     std::set<std::string> changed;
     if (view.complete) {
-        changed = mirror::take_snapshot(store, snapshot_of(view.changes), proved);
+        changed = mirror::apply_snapshot(store, snapshot_of(view.changes), proved);
     } else {
-        changed = mirror::take_changes(store, view.changes);
-        mirror::prove(store, proved);
+        changed = mirror::apply_changes(store, view.changes);
+        mirror::mark_verified(store, proved);
     }
     if (view.complete_age) {
-        mirror::note_revision(store, view.changes.revision, peer.queried_at - *view.complete_age);
+        mirror::record_revision(store, view.changes.revision, peer.queried_at - *view.complete_age);
     }
     this->context.log.line(importance::keep, "store_view_from_entry")
         .text("entry", peer.id.value)
--- a/src/proxy/peers.h
+++ b/src/proxy/peers.h
@@ -56,7 +56,7 @@
     std::function<bool()> is_reading_store;
     // Whether this entry proves the store's contents for all, and so needs others' proofs only when
     // it fails to.
-    std::function<bool()> confirms_store;
+    std::function<bool()> verifies_store;
     // Told of crashed upstreams, and of requests that are held back for them, and when that was
     // written.
     std::function<void(const base::entry_id& from, const peering::crash_report&,
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -36,12 +36,12 @@
           other_started(this->world.entry().now() - base::seconds(3)) {
         this->world.prove_config();
         this->others.count_changed = [] {};
-        this->others.confirms_store = [] { return true; };
+        this->others.verifies_store = [] { return true; };
         this->others.is_reading_store = [] { return false; };
         this->others.initial_messages = [] { return std::vector<peering::message>{}; };
         this->others.target_weights_received = [this](const auto& from, const auto& reports,
-                                                      base::instant asked_at) {
-            proxy::apply_reported_targets(this->world.entry(), from, reports, asked_at);
+                                                      base::instant queried_at) {
+            proxy::apply_reported_targets(this->world.entry(), from, reports, queried_at);
         };
         const std::string key = this->world.entry().codec.own_prefix + "entries/zz";
         this->world.state.store.items[key] = {key, other_address, 1};
@@ -214,8 +214,8 @@
     void send_handshake(std::int64_t incarnation) {
         this->send(peering::handshake{{"zz"}, {"a"}, incarnation});
         REQUIRE(this->world.run_until([this] {
-            const auto peer = this->others.connected_entries();
-            return !peer.empty() && this->all_messages_read();
+            const auto connected = this->others.connected_entries();
+            return !connected.empty() && this->all_messages_read();
         }));
     }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -138,8 +138,8 @@
 
 void proxy::serve_operators_and_balancer() {
     this->balancer = std::make_unique<adapters::http_server>(
-        this->loop.base(), adapters::http_limits{}, [this](const adapters::exchange_ptr& asked) {
-            asked->reply(this->ready() ? status_ok : status_unavailable, {}, "");
+        this->loop.base(), adapters::http_limits{}, [this](const adapters::exchange_ptr& exchange) {
+            exchange->reply(this->ready() ? status_ok : status_unavailable, {}, "");
         });
     this->operators = process::serve_operators(this->loop, this->metrics, this->timeline,
                                                {[this] { return this->ready(); },
@@ -182,12 +182,12 @@
     this->store.broadcast = [this](const peering::store_changes& message) {
         this->peer_entries.broadcast(message);
     };
-    this->peer_entries.store_changes_received = [this](const peering::store_changes& told) {
-        return this->updates.receive(told) != store_updates::outcome::gap;
+    this->peer_entries.store_changes_received = [this](const peering::store_changes& message) {
+        return this->updates.receive(message) != store_updates::outcome::gap;
     };
     this->peer_entries.is_reading_store = [this] { return this->updates.is_reading(); };
     this->updates.read_failed = [this] { this->peer_entries.query_soon(); };
-    this->peer_entries.confirms_store = [this] { return this->store.is_confirming(); };
+    this->peer_entries.verifies_store = [this] { return this->store.is_verifier(); };
     const auto apply_changes_from = [this](const char* source) {
         return [this, source](const std::set<std::string>& keys) {
             this->on_store_change(keys, source);
@@ -196,20 +196,20 @@
     this->store.changed = apply_changes_from("store");
     this->updates.changed = apply_changes_from("entry");
     this->peer_entries.store_changed = apply_changes_from("entry_asked");
-    this->peer_entries.weights_changed = [this](const peering::loaded_weights& told) {
-        record_weights(this->context, told.upstream, told.model, told.version);
+    this->peer_entries.weights_changed = [this](const peering::loaded_weights& message) {
+        record_weights(this->context, message.upstream, message.model, message.version);
     };
     this->peer_entries.target_weights_received =
-        [this](const base::entry_id& from, const std::vector<peering::target_weights>& told,
-               base::instant asked_at) {
-            if (apply_reported_targets(this->context, from, told, asked_at)) {
+        [this](const base::entry_id& from, const std::vector<peering::target_weights>& message,
+               base::instant queried_at) {
+            if (apply_reported_targets(this->context, from, message, queried_at)) {
                 this->renew_begin_deadlines();
             }
         };
-    this->peer_entries.kv_store_contents_received = [this](const base::entry_id& from,
-                                                           const peering::kv_store_contents& told) {
-        this->kv_stores.receive(from, told);
-    };
+    this->peer_entries.kv_store_contents_received =
+        [this](const base::entry_id& from, const peering::kv_store_contents& message) {
+            this->kv_stores.receive(from, message);
+        };
     this->peer_entries.initial_messages = [this] { return this->initial_messages(); };
     this->connect_quarantine();
     this->kv_stores.broadcast = [this](const peering::kv_store_contents& message) {
@@ -238,11 +238,11 @@
         this->on_quarantine_started(quarantined, decided_here);
     };
     this->peer_entries.crash_report_received =
-        [this](const base::entry_id& from, const peering::crash_report& told,
-               base::instant written) { this->crashes.receive(from, told, written); };
+        [this](const base::entry_id& from, const peering::crash_report& message,
+               base::instant written) { this->crashes.receive(from, message, written); };
     this->peer_entries.quarantine_notice_received =
-        [this](const base::entry_id& from, const peering::quarantine_notice& told,
-               base::instant written) { this->crashes.receive(from, told, written); };
+        [this](const base::entry_id& from, const peering::quarantine_notice& message,
+               base::instant written) { this->crashes.receive(from, message, written); };
 }
 
 void proxy::on_quarantine_started(const quarantine::quarantined_request& quarantined,
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -1,6 +1,6 @@
 #include "proxy/store_follower.h"
 
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 namespace camphorrail::proxy {
 
@@ -24,25 +24,25 @@
 
 store_follower::store_follower(entry_context& context, ports::platform platform)
     : context(context), platform(std::move(platform)) {
-    this->rules.proof_period = context.settings.platform.poll;
+    this->rules.verification_interval = context.settings.platform.poll;
 }
 
 void store_follower::start() {
     this->tick();
 }
 
-entries::store_duty_view store_follower::view() const {
-    return {entries::place_in_line(this->connected_entries(), this->context.settings.id,
-                                   store_duty_name),
-            mirror::age(this->context.state.store, this->context.now()), this->context.now()};
+entries::store_sync_view store_follower::view() const {
+    return {
+        entries::duty_rank(this->connected_entries(), this->context.settings.id, store_duty_name),
+        mirror::age(this->context.state.store, this->context.now()), this->context.now()};
 }
 
-bool store_follower::is_confirming() const {
-    return this->view().place == 0;
+bool store_follower::is_verifier() const {
+    return this->view().rank == 0;
 }
 
 void store_follower::tick() {
-    const bool was_following = this->duty.following;
+    const bool was_following = this->duty.watches_store;
     const auto due = entries::next_store_calls(this->duty, this->view(), this->rules);
     this->log_following_change(was_following);
     if (due.read) {
@@ -51,13 +51,13 @@
     if (due.watch) {
         this->watch();
     }
-    if (due.prove) {
-        this->confirm();
+    if (due.verify) {
+        this->verify();
     }
 }
 
 void store_follower::log_following_change(bool was_following) {
-    if (this->duty.following == was_following) {
+    if (this->duty.watches_store == was_following) {
         return;
     }
     this->context.log.line(importance::keep, was_following ? "store_left" : "store_followed")
@@ -66,7 +66,7 @@
 }
 
 void store_follower::publish(std::int64_t revision_before, const std::set<std::string>& keys) {
-    if (this->duty.following) {
+    if (this->duty.watches_store) {
         this->broadcast_changes(revision_before);
     }
     if (!keys.empty()) {
@@ -99,11 +99,11 @@
         if (read.has_value()) {
             auto& store = this->context.state.store;
             const std::int64_t before = store.revision;
-            const auto changed = mirror::take_snapshot(store, read.value(), began);
-            mirror::note_revision(store, read.value().revision, began);
+            const auto changed = mirror::apply_snapshot(store, read.value(), began);
+            mirror::record_revision(store, read.value().revision, began);
             this->publish(before, changed);
         }
-        entries::note_store_read(this->duty, read.has_value(), this->view(), this->rules);
+        entries::record_store_read(this->duty, read.has_value(), this->view(), this->rules);
         this->update_reachability(read.has_value());
         if (read.has_value() && first) {
             this->context.log.line(importance::keep, "store_read")
@@ -114,29 +114,29 @@
 }
 
 void store_follower::watch() {
-    const std::int64_t generation = ++this->watch_generation;
-    this->platform.watch(all_keys, this->context.state.store.revision, watch_wait,
-                         [this, generation](base::result<ports::changes> update) {
-                             const bool answered = update.has_value();
-                             const bool compacted = answered && update.value().compacted;
-                             if (answered && !compacted) {
-                                 auto& store = this->context.state.store;
-                                 const std::int64_t before = store.revision;
-                                 this->publish(before, mirror::take_changes(store, update.value()));
-                             }
-                             if (generation != this->watch_generation) {
-                                 return;
-                             }
-                             if (compacted) {
-                                 this->context.log.line(importance::keep, "store_history_lost")
-                                     .number("revision", this->context.state.store.revision);
-                             }
-                             entries::note_watch_end(this->duty, answered, compacted, this->view(),
-                                                     this->rules);
-                         });
+    const std::int64_t watch_generation = ++this->watch_generation;
+    this->platform.watch(
+        all_keys, this->context.state.store.revision, watch_wait,
+        [this, watch_generation](base::result<ports::changes> update) {
+            const bool answered = update.has_value();
+            const bool compacted = answered && update.value().compacted;
+            if (answered && !compacted) {
+                auto& store = this->context.state.store;
+                const std::int64_t before = store.revision;
+                this->publish(before, mirror::apply_changes(store, update.value()));
+            }
+            if (watch_generation != this->watch_generation) {
+                return;
+            }
+            if (compacted) {
+                this->context.log.line(importance::keep, "store_history_lost")
+                    .number("revision", this->context.state.store.revision);
+            }
+            entries::record_watch_end(this->duty, answered, compacted, this->view(), this->rules);
+        });
 }
 
-ports::transaction store_follower::make_confirmation_check() const {
+ports::transaction store_follower::make_verification() const {
     ports::transaction check;
     const auto& items = this->context.state.store.items;
     const auto expect = [&check](const ports::stored_value& item) {
@@ -149,8 +149,8 @@
         // Before the first configuration its absence is what is proved.
         check.preconditions.push_back({this->context.codec.operators_config_key, 0});
     }
-    for (const auto& item : mirror::items_below(this->context.state.store,
-                                                this->context.codec.target_weights_prefix)) {
+    for (const auto& item : mirror::items_with_prefix(this->context.state.store,
+                                                      this->context.codec.target_weights_prefix)) {
         expect(item);
     }
     for (const auto& key : this->missing_target_keys()) {
@@ -179,20 +179,20 @@
     return keys;
 }
 
-void store_follower::confirm() {
+void store_follower::verify() {
     const base::instant began = this->context.now();
     this->platform.commit(
-        this->make_confirmation_check(), [this, began](base::result<ports::commit_result> answer) {
+        this->make_verification(), [this, began](base::result<ports::commit_result> answer) {
             auto& store = this->context.state.store;
-            entries::proof_outcome outcome;
+            entries::verification_result outcome;
             outcome.answered = answer.has_value();
             outcome.unchanged = outcome.answered && answer.value().applied;
             outcome.behind = outcome.unchanged && answer.value().revision > store.revision;
             if (outcome.unchanged) {
-                mirror::prove(store, began);
-                mirror::note_revision(store, answer.value().revision, began);
+                mirror::mark_verified(store, began);
+                mirror::record_revision(store, answer.value().revision, began);
             }
-            entries::note_proof(this->duty, outcome, this->view(), this->rules);
+            entries::record_verification(this->duty, outcome, this->view(), this->rules);
             this->update_reachability(outcome.answered);
         });
 }
--- a/src/proxy/store_updates.cpp
+++ b/src/proxy/store_updates.cpp
@@ -58,7 +58,7 @@
 }
 
 void store_updates::apply(const peering::store_changes& message) {
-    const auto keys = mirror::take_changes(this->context.state.store, message.changes);
+    const auto keys = mirror::apply_changes(this->context.state.store, message.changes);
     if (!keys.empty()) {
         this->changed(keys);
     }
--- a/src/proxy/target_weights_tests.cpp
+++ b/src/proxy/target_weights_tests.cpp
@@ -28,13 +28,13 @@
 
     // Reads the whole store, in which nothing is named yet.
     void read_all() {
-        mirror::take_snapshot(this->store(), {this->revision, {}}, this->now());
-        this->confirm_complete();
+        mirror::apply_snapshot(this->store(), {this->revision, {}}, this->now());
+        this->mark_complete();
         proxy::read_target_weights(this->world.entry(), "store");
     }
 
     // The store shows that nothing was missed.
-    void confirm_complete() { mirror::note_revision(this->store(), this->revision, this->now()); }
+    void mark_complete() { mirror::record_revision(this->store(), this->revision, this->now()); }
 
     // A watch tells of a named version.
     void announce(std::int64_t version) {
@@ -42,8 +42,8 @@
         const std::string value =
             R"({"model":")" + model.value + R"(","version":)" + std::to_string(version) + "}";
         ++this->revision;
-        mirror::take_changes(this->store(),
-                             {this->revision, {{{key, value, this->revision}, false}}});
+        mirror::apply_changes(this->store(),
+                              {this->revision, {{{key, value, this->revision}, false}}});
         proxy::read_target_weights(this->world.entry(), "store");
     }
 };
@@ -54,17 +54,17 @@
 // cut off, while newer ones were named.
 TEST_CASE("weights are outdated from when the newer ones can have been named", "[proxy]") {
     target_world entry;
-    const auto last_confirmed = entry.now();
+    const auto last_complete = entry.now();
     entry.world.move_clock(base::seconds(5));
     entry.announce(2);
-    CHECK(entry.outdated_since(1) == last_confirmed);
+    CHECK(entry.outdated_since(1) == last_complete);
 
     SECTION("also where a version in between was never heard of") {
         const auto before = entry.now();
-        entry.confirm_complete();
+        entry.mark_complete();
         entry.world.move_clock(base::seconds(5));
         entry.announce(4);
         CHECK(entry.outdated_since(2) == before);
-        CHECK(entry.outdated_since(1) == last_confirmed);
+        CHECK(entry.outdated_since(1) == last_complete);
     }
 }
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -322,13 +322,13 @@
 // earlier life are void from then on. What comes from a life that is over, or from one that the
 // list has replaced meanwhile, is not believed: its count of orders would let an order through that
 // was meant for another life.
-bool weights_loader::accept_incarnation(const base::upstream_instance& asked,
+bool weights_loader::accept_incarnation(const base::upstream_instance& queried,
                                         base::upstream_incarnation reported) {
-    auto* member = fleet::find_instance(this->context.state.fleet, asked);
+    auto* member = fleet::find_instance(this->context.state.fleet, queried);
     if (member == nullptr) {
         return false;
     }
-    if (reported == asked.incarnation) {
+    if (reported == queried.incarnation) {
         return true;
     }
     if (reported == base::upstream_incarnation{} || fleet::incarnation_ended(*member, reported)) {
@@ -354,21 +354,21 @@
         return;
     }
     auto& member = this->context.state.fleet.members.at(id);
-    const auto asked = this->pending_loads.find(id);
+    const auto load = this->pending_loads.find(id);
     for (const auto& [model, version] : state.models) {
         this->context.broadcast_weights(fleet::instance_of(member), model, version);
     }
     this->accepted_commands[id] = state.accepted_commands;
-    const bool accepted_here = asked != this->pending_loads.end() && asked->second.accepted;
+    const bool accepted_here = load != this->pending_loads.end() && load->second.accepted;
     if (state.loading) {
         // It refuses whatever comes; each refusal would cost a caller time and a retry.
         this->pause_requests(member, busy_extension);
     }
-    if (state.loading && asked == this->pending_loads.end()) {
+    if (state.loading && load == this->pending_loads.end()) {
         // Another leader's order, or one of ours that came late.
         this->pending_loads[id] = {querying, this->context.now(), true, {}, {}};
-    } else if (!state.loading && asked != this->pending_loads.end() && !accepted_here) {
-        this->pending_loads.erase(asked);
+    } else if (!state.loading && load != this->pending_loads.end() && !accepted_here) {
+        this->pending_loads.erase(load);
     }
     this->context.log.line(importance::keep, "upstream_state")
         .text("upstream", id.value)
--- a/src/proxy/weights_loader.h
+++ b/src/proxy/weights_loader.h
@@ -42,7 +42,7 @@
     void discard_previous_incarnations();
     // Takes what an upstream says of its own life; false where that is not the one that it is in as
     // far as is known here.
-    bool accept_incarnation(const base::upstream_instance& asked,
+    bool accept_incarnation(const base::upstream_instance& queried,
                             base::upstream_incarnation reported);
     void handle_state(const base::upstream_instance& upstream, const ports::upstream_state& state);
     void load_model(const base::model_id& model, const weights_history& history);
--- a/src/proxy/weights_loader_tests.cpp
+++ b/src/proxy/weights_loader_tests.cpp
@@ -39,9 +39,9 @@
                 std::to_string(this->accepted) + "}";
             return engine_script{{tests::engine_step::kind::send, json_answer(state)}};
         });
-        auto& one = this->member();
-        one.listed.models = {{model, 1}};
-        one.listed.incarnation = {100};
+        auto& member = this->member();
+        member.listed.models = {{model, 1}};
+        member.listed.incarnation = {100};
         proxy::record_target(this->world.state.weights[model], 1, {});
         const auto now = this->world.entry().now();
         proxy::record_target(this->world.state.weights[model], 2, {now, {}, now});
