--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -413,7 +413,7 @@
         this->config.pools[{"pool"}].kv_capacity_tokens = 72000;
         this->prove_config();
         this->upstream().listed.models = {{{"desk-8b"}, 1}};
-        proxy::note_named(this->state.weights[{"desk-8b"}], 1, {});
+        proxy::record_target(this->state.weights[{"desk-8b"}], 1, {});
     }
 
     fleet::member& upstream() { return this->state.fleet.members.at({"i-1"}); }
@@ -539,7 +539,7 @@
     prompt_world world([](const engine_request&) { return engine_script{hang}; });
     const auto longest = proxy::max_outdated_weights_age(world.entry().settings);
     const auto named = world.entry().now() - longest + base::milliseconds(50);
-    proxy::note_named(world.state.weights[{"desk-8b"}], 2, {named, {}, named});
+    proxy::record_target(world.state.weights[{"desk-8b"}], 2, {named, {}, named});
     const auto seen = world.call(prompt("stream", "r1"));
     REQUIRE(world.engine.requests.size() == 1);
     CHECK(world.entry().now() < named + world.entry().settings.bounds.outdated_weights);
@@ -552,7 +552,7 @@
                                  send(tests::chunk(events(1, 1))), hang};
         });
         const auto since = calm.entry().now() - longest + base::milliseconds(50);
-        proxy::note_named(calm.state.weights[{"desk-8b"}], 2, {since, {}, since});
+        proxy::record_target(calm.state.weights[{"desk-8b"}], 2, {since, {}, since});
         const auto bound = since + calm.entry().settings.bounds.outdated_weights;
         calm.call_until(prompt("stream", "r2"), [&] { return calm.entry().now() >= bound; });
         CHECK_FALSE(calm.last_seen().ended);
@@ -570,8 +570,8 @@
     world.call_until(prompt("stream", "r1"), [&] {
         if (named == base::instant{} && !world.engine.requests.empty()) {
             named = world.entry().now() - longest + base::milliseconds(50);
-            proxy::note_named(world.state.weights[{"desk-8b"}], 2,
-                              {named, {}, world.entry().now()});
+            proxy::record_target(world.state.weights[{"desk-8b"}], 2,
+                                 {named, {}, world.entry().now()});
             world.renew_begin_deadlines();
         }
         return world.last_seen().ended || !world.last_seen().heads.empty();
@@ -590,8 +590,8 @@
         calm.call_until(prompt("stream", "r2"), [&] {
             if (bound == base::instant{} && !calm.last_seen().heads.empty()) {
                 const auto since = calm.entry().now() - longest + base::milliseconds(50);
-                proxy::note_named(calm.state.weights[{"desk-8b"}], 2,
-                                  {since, {}, calm.entry().now()});
+                proxy::record_target(calm.state.weights[{"desk-8b"}], 2,
+                                     {since, {}, calm.entry().now()});
                 calm.renew_begin_deadlines();
                 bound = since + calm.entry().settings.bounds.outdated_weights;
             }
@@ -615,7 +615,7 @@
         world.call_until(prompt("stream", "r1"), [&] {
             if (!waits && !world.engine.requests.empty()) {
                 waits = true;
-                world.state.store.proved_at = seen_long_ago();
+                world.state.store.verified_at = seen_long_ago();
                 world.renew_begin_deadlines();
             }
             return world.last_seen().ended || !world.last_seen().heads.empty();
@@ -629,7 +629,7 @@
         base::instant until{};
         world.call_until(prompt("stream", "r1"), [&] {
             if (until == base::instant{} && !world.engine.requests.empty()) {
-                world.state.store.proved_at = seen_long_ago();
+                world.state.store.verified_at = seen_long_ago();
                 world.renew_begin_deadlines();
                 world.prove_config();
                 until = world.entry().now() + base::milliseconds(300);
@@ -640,7 +640,7 @@
         CHECK_FALSE(world.last_seen().ended);
     }
     SECTION("and none is sent") {
-        world.state.store.proved_at = seen_long_ago();
+        world.state.store.verified_at = seen_long_ago();
         const ports::client_request metadata{.request_id = "r1", .model = {"desk-8b"}};
         CHECK_FALSE(proxy::choose_upstream(world.entry(), {.pool = {"pool"}, .prompt = &metadata}));
         world.prove_config();
--- a/src/proxy/request_quota_tests.cpp
+++ b/src/proxy/request_quota_tests.cpp
@@ -157,7 +157,7 @@
         const auto report = sender_exchange.collect(1);
         REQUIRE(report.near.has_value());
         const auto received = peering::decode(peering::encode({*report.near}));
-        receiver_exchange.take(std::get<peering::load_report>(received.value().payload), false);
+        receiver_exchange.receive(std::get<peering::load_report>(received.value().payload), false);
     };
     exchange_report();
     for (int each = 0; each < 9; ++each) {
