--- a/src/proxy/frontend_server.cpp
+++ b/src/proxy/frontend_server.cpp
@@ -93,19 +93,19 @@
         return this->exchange == nullptr && !this->reading && !this->final_response_written;
     }
 
-    void respond(int status, const http::fields& all, const std::string& body) {
+    void respond(int status, const http::fields& fields, const std::string& body) {
         const bool keep = this->keep_alive();
         this->write(
-            http::write_response_head(status, all, {http::framing::length, body.size()}, keep));
+            http::write_response_head(status, fields, {http::framing::length, body.size()}, keep));
         this->write(body);
         this->end_exchange(keep);
     }
 
-    void start(int status, const http::fields& all) {
+    void start(int status, const http::fields& fields) {
         this->chunked = this->exchange->head.chunks_allowed;
         this->keep_alive_after = this->keep_alive() && this->chunked;
         const auto kind = this->chunked ? http::framing::chunks : http::framing::close;
-        this->write(http::write_response_head(status, all, {kind, 0}, this->keep_alive_after));
+        this->write(http::write_response_head(status, fields, {kind, 0}, this->keep_alive_after));
     }
 
     void send(const std::string& bytes) {
@@ -166,8 +166,8 @@
         this->remove_from_idle();
         this->release();
         this->server->remove(this->number);
-        if (const auto left = std::exchange(this->exchange, nullptr)) {
-            left->disconnected.emit();
+        if (const auto ended_exchange = std::exchange(this->exchange, nullptr)) {
+            ended_exchange->disconnected.emit();
         }
     }
 
@@ -356,15 +356,15 @@
     return held != nullptr && held->is_open();
 }
 
-void client_exchange::respond(int status, const http::fields& all, const std::string& text) {
+void client_exchange::respond(int status, const http::fields& fields, const std::string& text) {
     if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
-        held->respond(status, all, text);
+        held->respond(status, fields, text);
     }
 }
 
-void client_exchange::start(int status, const http::fields& all) {
+void client_exchange::start(int status, const http::fields& fields) {
     if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
-        held->start(status, all);
+        held->start(status, fields);
     }
 }
 
@@ -528,18 +528,18 @@
     if (this->listener != nullptr) {
         evconnlistener_free(std::exchange(this->listener, nullptr));
     }
-    const auto all = this->connections;
-    for (const auto& [number, each] : all) {
-        if (each->idle()) {
-            each->close_gracefully();
+    const auto connections_copy = this->connections;
+    for (const auto& [number, connection] : connections_copy) {
+        if (connection->idle()) {
+            connection->close_gracefully();
         }
     }
 }
 
 std::size_t frontend_server::unsent() const {
     std::size_t bytes = 0;
-    for (const auto& [number, each] : this->connections) {
-        bytes += each->unsent();
+    for (const auto& [number, connection] : this->connections) {
+        bytes += connection->unsent();
     }
     return bytes;
 }
--- a/src/proxy/frontend_server.h
+++ b/src/proxy/frontend_server.h
@@ -33,9 +33,9 @@
 
     [[nodiscard]] bool is_open() const;
     // Sends a complete response.
-    void respond(int status, const http::fields& all, const std::string& body);
+    void respond(int status, const http::fields& fields, const std::string& body);
     // Sends a response in pieces: `start`, any number of `send`, `finish`.
-    void start(int status, const http::fields& all);
+    void start(int status, const http::fields& fields);
     void send(const std::string& bytes);
     void finish();
     // Breaks the connection during a response that cannot be completed, so that the client cannot
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -82,16 +82,16 @@
 
 // The members that hold the model, without those whose weights are outdated for too long. Otherwise
 // weights do not affect placement: while upstreams change weights one after another, each prompt
-// stays at its home and is processed again there once, instead of moving to the few upstreams that
-// have already changed.
+// stays at its home upstream and is processed again there once, instead of moving to the few
+// upstreams that have already changed.
 std::vector<kvcache::candidate> prompt_candidates(const entry_context& context,
-                                                  const std::vector<fleet::member*>& all,
+                                                  const std::vector<fleet::member*>& available,
                                                   const base::model_id& model) {
     const base::instant now = context.now();
     const auto& history = history_of(context.state, model);
     const auto longest = max_outdated_weights_age(context.settings);
     std::vector<kvcache::candidate> found;
-    for (auto* member : all) {
+    for (auto* member : available) {
         const std::int64_t version = fleet::weights_version_of(*member, model);
         const auto since = possibly_outdated_since(context, model, version);
         const auto allowed =
@@ -163,8 +163,8 @@
 
 std::optional<upstream_choice> choose_for_prompt(const entry_context& context,
                                                  const selection_criteria& criteria,
-                                                 const std::vector<fleet::member*>& all) {
-    auto candidates = prompt_candidates(context, all, criteria.prompt->model);
+                                                 const std::vector<fleet::member*>& available) {
+    auto candidates = prompt_candidates(context, available, criteria.prompt->model);
     if (criteria.resumed) {
         prefer_newest(candidates);
     }
@@ -234,17 +234,19 @@
                                                const selection_criteria& criteria) {
     const base::instant now = context.now();
     const auto rules = fleet_rules_of(context.settings);
-    auto all = fleet::candidates(context.state.fleet, criteria.pool, now, rules, criteria.tried);
-    if (all.empty()) {
+    auto available =
+        fleet::candidates(context.state.fleet, criteria.pool, now, rules, criteria.tried);
+    if (available.empty()) {
         return std::nullopt;
     }
     if (criteria.prompt != nullptr && !criteria.prompt->model.empty()) {
-        return choose_for_prompt(context, criteria, all);
+        return choose_for_prompt(context, criteria, available);
     }
     if (criteria.suspect) {
-        keep_safest(context, all);
+        keep_safest(context, available);
     }
-    const auto* target = fleet::least_loaded(all, context.settings.zone, criteria.hash, now, rules);
+    const auto* target =
+        fleet::least_loaded(available, context.settings.zone, criteria.hash, now, rules);
     upstream_choice choice;
     choice.id = target->listed.id;
     choice.incarnation = target->listed.incarnation;
@@ -281,9 +283,9 @@
         }
         const auto until =
             std::max({member.busy_until, member.health.ejected_until, member.suspected_until});
-        const auto left = std::chrono::duration_cast<base::milliseconds>(until - now);
+        const auto remaining = std::chrono::duration_cast<base::milliseconds>(until - now);
         const auto paused = std::chrono::ceil<base::milliseconds>(member.pause_until - now);
-        const auto member_wait = std::max(std::clamp(left, min_wait, default_wait), paused);
+        const auto member_wait = std::max(std::clamp(remaining, min_wait, default_wait), paused);
         shortest_wait = shortest_wait ? std::min(*shortest_wait, member_wait) : member_wait;
     }
     return shortest_wait.value_or(default_wait);
--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-bool has_incarnation(const ports::listed_upstream& one) {
-    return one.incarnation != base::upstream_incarnation{};
+bool has_incarnation(const ports::listed_upstream& upstream) {
+    return upstream.incarnation != base::upstream_incarnation{};
 }
 
 // A record of the list, and the store's revision at which it was last written.
@@ -20,34 +20,34 @@
 void remove_foreign_entries(std::vector<list_entry>& entries, upstream_list& list) {
     const auto with_incarnation = static_cast<std::size_t>(
         std::count_if(entries.begin(), entries.end(),
-                      [](const auto& each) { return has_incarnation(each.upstream); }));
+                      [](const auto& entry) { return has_incarnation(entry.upstream); }));
     if (2 * with_incarnation <= entries.size()) {
         return;
     }
-    for (const auto& each : entries) {
-        if (!has_incarnation(each.upstream)) {
-            list.unreadable[each.upstream.id] = each.revision;
+    for (const auto& entry : entries) {
+        if (!has_incarnation(entry.upstream)) {
+            list.unreadable[entry.upstream.id] = entry.revision;
         }
     }
-    std::erase_if(entries, [](const auto& each) { return !has_incarnation(each.upstream); });
+    std::erase_if(entries, [](const auto& entry) { return !has_incarnation(entry.upstream); });
 }
 
 // A process that has ended writes nothing, so of all records with the same address the one written
 // last belongs to the process that has the address now.
 void remove_replaced_entries(std::vector<list_entry>& entries, upstream_list& list) {
     std::map<std::string, const list_entry*> holders;
-    for (const auto& each : entries) {
-        auto& holder = holders[each.upstream.address];
-        holder = holder == nullptr || holder->revision < each.revision ? &each : holder;
+    for (const auto& entry : entries) {
+        auto& holder = holders[entry.upstream.address];
+        holder = holder == nullptr || holder->revision < entry.revision ? &entry : holder;
     }
-    for (const auto& each : entries) {
-        const auto* holder = holders.at(each.upstream.address);
-        if (holder != &each) {
-            list.replaced[each.upstream.id] = holder->upstream.id;
+    for (const auto& entry : entries) {
+        const auto* holder = holders.at(entry.upstream.address);
+        if (holder != &entry) {
+            list.replaced[entry.upstream.id] = holder->upstream.id;
         }
     }
     std::erase_if(entries,
-                  [&](const auto& each) { return list.replaced.count(each.upstream.id) > 0; });
+                  [&](const auto& entry) { return list.replaced.count(entry.upstream.id) > 0; });
 }
 
 } // namespace
@@ -66,8 +66,8 @@
     }
     remove_foreign_entries(entries, list);
     remove_replaced_entries(entries, list);
-    for (auto& each : entries) {
-        list.upstreams.push_back(std::move(each.upstream));
+    for (auto& entry : entries) {
+        list.upstreams.push_back(std::move(entry.upstream));
     }
     return list;
 }
