--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -22,8 +22,7 @@
     return stable ? rules.stable_weight : 1.0;
 }
 
-// Makes room by forgetting the suspect that has been quiet for longest, those that are held back
-// last.
+// Makes room by removing the suspect with the oldest event; quarantined requests are removed last.
 void evict_oldest_suspect(quarantine& state, base::instant now, const quarantine_rules& rules) {
     if (state.suspects.size() < rules.max_suspects) {
         return;
@@ -49,9 +48,10 @@
     return added;
 }
 
-// Copies that were on their way already when the first upstream crashed say no more than that one
-// did: many upstreams that crash at once are not the fault of a request that many of them ran. The
-// same goes for copies that went on from there in the same moment and broke at once.
+// Whether a crash is evidence beyond the previous one. Copies that were in flight already at the
+// previous crash prove nothing further: if many upstreams crash at once, a request that many of
+// them ran is not the cause. The same holds for copies that were resent within the same window and
+// failed at once.
 bool is_independent_crash(const suspect& record, const crash_victim& victim,
                           const crash_report& report, const quarantine_rules& rules) {
     if (record.crashes.empty()) {
@@ -82,8 +82,8 @@
     record.last_event_at = report.at;
 }
 
-// Whether several upstreams crashed about then without the request, or more at the very moment than
-// one copy could have crashed in turn.
+// Whether several upstreams crashed at about the same time without the request, or more crashed
+// within the simultaneous window than one copy could have crashed in turn.
 bool is_unrelated_crash(const quarantine& state, const suspect& record, const counted_crash& crash,
                         const quarantine_rules& rules) {
     std::size_t without_request = 0;
@@ -98,15 +98,15 @@
            simultaneous > rules.max_unrelated_crashes;
 }
 
-// Whether the upstream had crashed, by the earliest word of any request there, before the copy was
-// sent to it.
+// Whether the upstream had already crashed, by the earliest report of any request there, before the
+// copy was sent to it.
 bool was_lost_before_sending(const quarantine& state, const counted_crash& crash) {
     const auto known = state.crashes.find(crash.upstream);
     return known != state.crashes.end() && known->second.at < crash.sent_at;
 }
 
-// The evidence if none of the crashes was of a storm: an upper bound that costs nothing. After many
-// upstreams have crashed together, it settles hundreds of suspects with one crash each.
+// The evidence if no crash were discounted: a cheap upper bound. After many upstreams have crashed
+// together, it rules out hundreds of suspects with one crash each.
 double max_evidence(const suspect& record) {
     double evidence = record.prior_evidence;
     for (const auto& crash : record.crashes) {
@@ -126,7 +126,8 @@
     return evidence;
 }
 
-// Whether another request was there as well at the last crash, and has as much against it.
+// Whether another request was in flight at the same last crash and has at least as much evidence
+// against it.
 bool has_equal_suspect(const quarantine& state, const suspect& record, double evidence,
                        base::instant now, const quarantine_rules& rules) {
     const auto crash = state.crashes.find(record.crashes.back().upstream);
@@ -155,14 +156,15 @@
            !has_equal_suspect(state, record, evidence, now, rules);
 }
 
-// Its last crash has happened so lately that other entries may still tell of it.
+// Whether the last crash is so recent that reports of other entries may still be due.
 bool awaits_reports(const quarantine& state, const suspect& record, base::instant now,
                     const quarantine_rules& rules) {
     return now - record.last_event_at < rules.report_delay &&
            total_evidence(state, record, rules) >= rules.evidence_threshold;
 }
 
-// One more crash is enough to hold it back again.
+// Ends a quarantine. The remaining evidence is such that one more crash quarantines the request
+// again.
 void release(suspect& record, const quarantine_rules& rules) {
     record.last_event_at = *record.quarantined_until;
     record.quarantined_until.reset();
@@ -310,7 +312,7 @@
         }
     }
     std::erase_if(state.suspects, [&](const auto& each) {
-        // One that was held back is remembered for as long again.
+        // A quarantined request is remembered for as long again after its quarantine.
         const auto lifetime = std::max(rules.suspicion_lifetime, each.second.duration);
         return !each.second.quarantined_until && now - each.second.last_event_at > lifetime;
     });
--- a/src/quarantine/quarantine_tests.cpp
+++ b/src/quarantine/quarantine_tests.cpp
@@ -22,7 +22,7 @@
     return quarantine::identify({"/desk", "north", name});
 }
 
-// One entry's quarantine, with the time in milliseconds.
+// The quarantine state of one entry, with times in milliseconds.
 struct entry {
     quarantine::quarantine state;
 
@@ -48,8 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a request under which two upstreams crash one after the other is held back",
-          "[quarantine]") {
+TEST_CASE("a request under which two upstreams crash in turn is quarantined", "[quarantine]") {
     entry node;
     CHECK(node.judge("fatal", 0) == verdict::allowed);
     node.crash("i-1", 100, {entry::victim("fatal", 50), entry::victim("bystander", 20)});
@@ -57,14 +56,14 @@
     CHECK(node.judge("stranger", 110) == verdict::allowed);
     node.crash("i-2", 300, {entry::victim("fatal", 200)});
 
-    SECTION("as soon as other entries have told of the crash") {
+    SECTION("once the reports of other entries have arrived") {
         CHECK(node.judge("fatal", 310) == verdict::deferred);
         CHECK(node.decide(400) == 0);
         CHECK(node.decide(460) == 1);
         CHECK(node.judge("fatal", 470) == verdict::quarantined);
         CHECK(node.judge("bystander", 470) == verdict::trial);
     }
-    SECTION("which is said once, with how long it lasts") {
+    SECTION("which is returned once, with its duration") {
         const auto started = quarantine::decide_quarantines(node.state, entry::at(500), rules);
         REQUIRE(started.size() == 1);
         CHECK(started[0].span == rules.initial_duration);
@@ -72,7 +71,7 @@
         CHECK(node.decide(600) == 0);
         CHECK(quarantine::quarantined_requests(node.state, entry::at(600)).size() == 1);
     }
-    SECTION("for twice as long when it does so again after its time") {
+    SECTION("for twice as long if it crashes an upstream again afterwards") {
         node.decide(500);
         const int over = 500 + 600000;
         quarantine::expire(node.state, entry::at(over), rules);
@@ -85,7 +84,7 @@
     }
 }
 
-TEST_CASE("a whole answer acquits", "[quarantine]") {
+TEST_CASE("a complete response clears the suspicion", "[quarantine]") {
     entry node;
     node.crash("i-1", 100, {entry::victim("r", 50)});
     quarantine::clear_suspicion(node.state, request_named("r").digest, entry::at(150));
@@ -94,33 +93,34 @@
     CHECK(node.decide(600) == 0);
 }
 
-// The failure: of two requests that died together twice, the harmless one is held back with the
-// other.
-TEST_CASE("of two that were at both crashes neither is held back before they have run apart",
+// Guards against quarantining a harmless request together with a fatal one because both were in
+// flight at the same two crashes.
+TEST_CASE("of two requests in flight at both crashes neither is quarantined before they ran apart",
           "[quarantine]") {
     entry node;
     node.crash("i-1", 100, {entry::victim("fatal", 50), entry::victim("harmless", 50)});
     node.crash("i-2", 300, {entry::victim("fatal", 200)});
-    // Another entry tells of its own request on the same upstream.
+    // Another entry reports its own request on the same upstream.
     node.crash("i-2", 340, {entry::victim("harmless", 200)});
     CHECK(node.decide(600) == 0);
     CHECK(node.judge("harmless", 600) == verdict::trial);
 
-    SECTION("since one of them crashes a third, alone") {
+    SECTION("until one of them crashes a third upstream alone") {
         node.crash("i-3", 700, {entry::victim("fatal", 650)});
         CHECK(node.decide(900) == 1);
         CHECK(node.judge("fatal", 900) == verdict::quarantined);
         CHECK(node.judge("harmless", 900) == verdict::trial);
     }
-    SECTION("or the other is answered") {
+    SECTION("or the other one completes") {
         quarantine::clear_suspicion(node.state, request_named("harmless").digest, entry::at(650));
         CHECK(node.decide(660) == 1);
     }
 }
 
-// The failure: upstreams crash by themselves, several at once and again and again, and a request
-// that callers send all the while is held back for it.
-TEST_CASE("crashes of many upstreams at once speak against no request", "[quarantine]") {
+// Guards against quarantining a harmless request that clients send all the time, because upstreams
+// crash for other reasons, several at once and repeatedly.
+TEST_CASE("simultaneous crashes of many upstreams are no evidence against a request",
+          "[quarantine]") {
     entry node;
     for (int round = 0; round < 4; ++round) {
         const int now = 3000 * round;
@@ -138,7 +138,7 @@
     }
 }
 
-TEST_CASE("copies that were on their way together count once", "[quarantine]") {
+TEST_CASE("copies that were in flight together count once", "[quarantine]") {
     entry node;
     for (int each = 0; each < 5; ++each) {
         node.crash("i-" + std::to_string(each), 100 + 40 * each, {entry::victim("r", 90)});
@@ -147,7 +147,7 @@
     CHECK(node.judge("r", 1000) == verdict::trial);
 }
 
-TEST_CASE("a request that had run well for a while weighs less", "[quarantine]") {
+TEST_CASE("a crash late in a response counts less", "[quarantine]") {
     entry node;
     const auto streaming = [](int sent_ms) {
         return quarantine::crash_victim{request_named("long"), entry::at(sent_ms),
@@ -161,7 +161,7 @@
     CHECK(node.decide(15000) == 1);
 }
 
-TEST_CASE("a suspect is tried one copy at a time", "[quarantine]") {
+TEST_CASE("only one copy of a suspect is on trial at a time", "[quarantine]") {
     entry node;
     node.crash("i-1", 100, {entry::victim("r", 50)});
     const auto digest = request_named("r").digest;
@@ -170,32 +170,31 @@
     CHECK(quarantine::upstreams_with_trials(node.state, entry::at(210)) ==
           std::vector<base::upstream_id>{{"i-2"}});
 
-    SECTION("until that one has ended") {
+    SECTION("until its attempt has ended") {
         quarantine::end_trial(node.state, digest);
         CHECK(node.judge("r", 220) == verdict::trial);
     }
-    SECTION("or has taken long") {
+    SECTION("or the trial has timed out") {
         CHECK(node.judge("r", 2300) == verdict::trial);
     }
 }
 
-TEST_CASE("another entry's word holds a request back that never crashed anything here",
-          "[quarantine]") {
+TEST_CASE("a request quarantined by another entry is quarantined here as well", "[quarantine]") {
     entry node;
     quarantine::impose(node.state, request_named("r"), base::seconds(60), entry::at(0), rules);
     CHECK(node.judge("r", 10) == verdict::quarantined);
     CHECK(quarantine::may_be_suspect(node.state, 1));
     CHECK_FALSE(quarantine::may_be_suspect(node.state, 2));
 
-    SECTION("an older word does not shorten it") {
+    SECTION("a notice with an earlier end does not shorten it") {
         quarantine::impose(node.state, request_named("r"), base::seconds(1), entry::at(10), rules);
         CHECK(node.judge("r", 30000) == verdict::quarantined);
     }
-    SECTION("nor a whole answer to a copy that was on its way") {
+    SECTION("nor does a complete response to a copy in flight") {
         quarantine::clear_suspicion(node.state, request_named("r").digest, entry::at(10));
         CHECK(node.judge("r", 20) == verdict::quarantined);
     }
-    SECTION("and no word holds it back for ever") {
+    SECTION("and no notice extends it beyond the maximum") {
         quarantine::impose(node.state, request_named("r"), base::minutes(1000000), entry::at(20),
                            rules);
         const auto left =
@@ -205,9 +204,9 @@
     }
 }
 
-// The failure: somebody sends many requests, each of which crashes an upstream, until the entry's
-// memory is full, or until one that is held back is forgotten.
-TEST_CASE("a flood of suspects takes bounded room, and those held back stay", "[quarantine]") {
+// Guards against a client that sends many different requests, each of which crashes an upstream,
+// until memory is exhausted or a quarantined request is forgotten.
+TEST_CASE("the number of suspects is bounded and quarantined requests are kept", "[quarantine]") {
     entry node;
     quarantine::impose(node.state, request_named("held"), base::seconds(60), entry::at(0), rules);
     for (int each = 0; each < 5000; ++each) {
@@ -218,7 +217,7 @@
     CHECK(node.state.crashes.size() <= rules.max_crashes);
     CHECK(node.judge("held", 5000) == verdict::quarantined);
 
-    SECTION("and all of it is forgotten in time") {
+    SECTION("and all state expires") {
         quarantine::expire(node.state, entry::at(4000000), rules);
         quarantine::expire(node.state, entry::at(9000000), rules);
         CHECK(node.state.suspects.empty());
@@ -228,8 +227,9 @@
 
 namespace {
 
-// Three entries before eighteen engines: two fatal requests that come again and again, among
-// others that die with the engines and come again, too. Entries hear of each other's crashes late.
+// Three entries in front of eighteen engines. Two fatal requests are sent repeatedly among harmless
+// ones, which are lost with the engines and retried. The entries receive each other's crash reports
+// late.
 struct crash_simulation {
     explicit crash_simulation(std::uint64_t seed) : random{seed} {}
 
@@ -377,16 +377,16 @@
 
 } // namespace
 
-// The failure: repeats of a fatal request crash engine after engine, and callers of others lose
-// their answers, or are refused in its place.
-TEST_CASE("over three entries a fatal request is found among those that die with it",
+// Guards against repeats of a fatal request that crash engine after engine, while harmless requests
+// lose their responses or are rejected instead of the fatal one.
+TEST_CASE("three entries tell a fatal request from the requests lost with it",
           "[quarantine][fleet]") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         CAPTURE(seed);
         crash_simulation simulation(seed);
         simulation.simulate();
-        // Two requests, each held back after three sequential crashes at the latest; copies that
-        // are on their way already when it is decided may add to them.
+        // Two requests, each quarantined after at most three sequential crashes; copies that are in
+        // flight when that is decided may add further crashes.
         CHECK(simulation.crashes <= 2 * 6);
         CHECK(simulation.harmless > 3000);
         CHECK(simulation.harmless_rejected <= 5);
@@ -395,9 +395,9 @@
 
 namespace {
 
-// Three entries before eight engines. One harmless request has nine copies under way all the time;
-// five engines are lost in one moment, twice, and others take their places a while later. A copy
-// that breaks goes on at once, before the entry knows which other engines are gone.
+// Three entries in front of eight engines. One harmless request has nine copies in flight all the
+// time. Five engines fail at the same moment, twice, and are replaced a while later. A lost copy is
+// resent at once, before the entry has detected which other engines have failed.
 struct rack_failure_simulation {
     explicit rack_failure_simulation(std::uint64_t seed) : random{seed} {}
 
@@ -429,7 +429,7 @@
     std::array<entry, 3> entries;
     std::array<int, engines> incarnations{};
     std::array<int, engines> down_until{};
-    // Engines that an entry has found to be gone.
+    // Engines that the entry has detected as failed.
     std::array<std::set<std::size_t>, 3> known_down;
     std::vector<copy> running;
     std::vector<int> arrivals;
@@ -555,9 +555,9 @@
 
 } // namespace
 
-// The failure: a harmless request that is popular is held back on all entries after several engines
-// were lost in the same moment.
-TEST_CASE("a popular request is served after a loss of many engines in one moment",
+// Guards against quarantining a popular harmless request on all entries after several engines
+// failed at the same moment.
+TEST_CASE("a popular request is served after many engines fail at the same moment",
           "[quarantine][fleet]") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         CAPTURE(seed);
@@ -572,10 +572,10 @@
     }
 }
 
-TEST_CASE("a copy proves nothing of an upstream that was lost before it was sent", "[quarantine]") {
+TEST_CASE("a copy sent to an upstream that had already crashed is no evidence", "[quarantine]") {
     entry node;
     node.crash("i-1", 100, {entry::victim("r", 50)});
-    // Another entry's word comes late: that upstream had been lost all along.
+    // A late report of another entry shows that the upstream had crashed before the copy was sent.
     node.crash("i-2", 300, {entry::victim("r", 250)});
     node.crash("i-2", 200, {entry::victim("stranger", 20)});
     CHECK(node.decide(600) == 0);
--- a/src/quarantine/request_identity.cpp
+++ b/src/quarantine/request_identity.cpp
@@ -7,7 +7,7 @@
 namespace camphorrail::quarantine {
 
 request_identity identify(const identity_parts& parts) {
-    // Each part's digest has the same length, so no part can reach into the next.
+    // All digests have the same length, so different splits of the same bytes can't collide.
     const std::string all = base::sha256_hex(parts.path) + base::sha256_hex(parts.client) +
                             base::sha256_hex(parts.body);
     return {{base::sha256_hex(all)}, parts.body.size()};
--- a/src/quarantine/request_identity.h
+++ b/src/quarantine/request_identity.h
@@ -7,19 +7,20 @@
 
 namespace camphorrail::quarantine {
 
-// What stays the same when a caller sends a request again. Its `Request-Id` does not: each attempt
-// of a caller brings a new one.
+// Identifies a request across the client's retries. `Request-Id` can't serve for this, since the
+// client sends a new one with each attempt.
 struct request_identity {
-    // SHA-256 over path, caller and body. With a weaker hash, or without the caller, somebody could
-    // have another caller's request held back by sending one that collides with it.
+    // SHA-256 over path, client and body. With a weaker hash, or without the client, an attacker
+    // could have another client's request quarantined by sending one that collides with it.
     base::request_digest digest;
-    // Tells most requests apart without hashing them.
+    // Distinguishes most requests without hashing them.
     std::size_t body_bytes = 0;
 
     auto operator<=>(const request_identity&) const = default;
 };
 
-// The parts of a request that make its identity. `caller` is its team where it has one.
+// The parts of a request that its identity is computed from. `client` is the team if the client has
+// one.
 struct identity_parts {
     std::string_view path;
     std::string_view client;
--- a/src/quarantine/request_identity_tests.cpp
+++ b/src/quarantine/request_identity_tests.cpp
@@ -5,17 +5,17 @@
 using namespace camphorrail;
 using quarantine::identify;
 
-TEST_CASE("a request keeps its identity over its attempts", "[quarantine]") {
+TEST_CASE("a request has the same identity on each attempt", "[quarantine]") {
     const auto first = identify({"/desk/1", "north", "hello"});
     CHECK(first == identify({"/desk/1", "north", "hello"}));
     CHECK(first.body_bytes == 5);
 
-    SECTION("and shares it with no other path, caller or body") {
+    SECTION("that differs for another path, client or body") {
         CHECK(first.digest != identify({"/desk/2", "north", "hello"}).digest);
         CHECK(first.digest != identify({"/desk/1", "south", "hello"}).digest);
         CHECK(first.digest != identify({"/desk/1", "north", "hallo"}).digest);
     }
-    SECTION("also where the same bytes are cut into other parts") {
+    SECTION("that differs if the same bytes are split differently") {
         CHECK(first.digest != identify({"/desk/1n", "orth", "hello"}).digest);
         CHECK(first.digest != identify({"/desk/1", "northh", "ello"}).digest);
     }
