--- a/src/quota/quota.cpp
+++ b/src/quota/quota.cpp
@@ -13,7 +13,7 @@
 
 using seconds = std::chrono::duration<double>;
 
-// Callers that were refused come back spread over a span of at least, and at most, this length.
+// Bounds of the time span over which the retries of rejected clients are spread.
 constexpr seconds min_retry_spread{0.2};
 constexpr seconds max_retry_spread{10.0};
 
@@ -21,7 +21,7 @@
     return limits.excess > 0.0 || limits.slack > 0.0;
 }
 
-// What a team may use in a window beyond its rate.
+// The amount beyond its rate that a team may use in a window.
 double extra_allowance(const routes::team_quota& limit, const quota_rules& rules) {
     const double in_window = limit.rate_per_s * seconds(rules.window_tolerance.window).count();
     const double tolerated =
@@ -42,8 +42,8 @@
     return windows ? (1.0 - rules.steady_fraction) * extra_allowance(limit, rules) : limit.burst;
 }
 
-// No bucket ever holds what a larger request asks for. It must not count as demand either, or a
-// single one would have all others of its team refused.
+// No bucket ever holds the cost of a larger request. Such a request must not count as demand, or a
+// single one would cause all others of its team to be rejected.
 double max_request_cost(const routes::team_quota& limit, const quota_rules& rules) {
     return bucket_capacity(limit, rules) + limit.rate_per_s * seconds(rules.max_debt_time).count();
 }
@@ -64,8 +64,8 @@
     }
 }
 
-// Numbered by its time: an entry that starts again under its id must not seem to go on with a count
-// of before.
+// The count is identified by its start time, so that an entry that restarts under the same id does
+// not appear to continue an earlier count.
 void start_count(team_account& account, base::instant now) {
     account.count_id = now.time_since_epoch().count();
     account.count_started_at = now;
@@ -73,7 +73,8 @@
     account.requested = 0;
 }
 
-// Where a process has just started, others may have let through a whole bucket before it.
+// Starts with an empty bucket if this process has just started, since other entries may have
+// admitted a whole burst before.
 team_account make_account(ledger& state, const routes::team_quota& limit, base::instant now,
                           const quota_rules& rules) {
     team_account account;
@@ -93,8 +94,8 @@
     account.limit = limit;
 }
 
-// A count begins with the first request that it holds: entries that were there by then have missed
-// nothing of it, however long this one had been running before.
+// A count starts with its first request. Entries that were running by then have missed none of it,
+// however long this entry had been running before.
 void record_demand(team_account& account, units cost, base::instant now, const quota_rules& rules) {
     if (account.requested == 0) {
         start_count(account, now);
@@ -116,8 +117,9 @@
     account.recent_uses.push_back({now, cost.value});
 }
 
-// What the others are likely to have let through since they last told: as much as this entry, for
-// their parts of the demand. The last request says nothing: it may have come here by chance.
+// Estimates what the other entries have admitted since their last reports: as much as this entry,
+// in proportion to their part of the demand. The largest request is left out, since it may have
+// arrived here by chance.
 double estimate_unreported_use(const team_account& account, double demand, std::size_t entries,
                                base::instant now, const quota_rules& rules) {
     double own = 0.0;
@@ -134,7 +136,7 @@
     return std::max(0.0, own - largest) * std::max(0.0, 1.0 / part - 1.0);
 }
 
-// The part of all that is asked for that may pass.
+// The fraction of all requested units that may be admitted.
 double pass_probability(double rate, double balance, double demand, const quota_rules& rules) {
     const double wanted = rate + balance / seconds(rules.rebalance_time).count();
     if (wanted >= demand) {
@@ -143,14 +145,14 @@
     return std::max(0.0, wanted / demand);
 }
 
-// From 0 up to 1, the same for the same lot.
+// Uniform in [0, 1), the same for the same key.
 double random_draw(std::uint64_t draw_key, std::uint64_t salt) {
     base::random_source source{base::combine_hashes(draw_key, salt)};
     return base::random_unit(source);
 }
 
-// When the team has room again, and then as long as it takes to let through what was refused within
-// one second: all that are refused at once would else come back at once.
+// Time until the team has room again, plus a random part of the time needed to admit what is
+// rejected within one second; otherwise all rejected clients would retry at once.
 base::micros retry_delay(const decision& result, double probability, units cost,
                          std::uint64_t draw_key) {
     const double rate = std::max(result.rate, 1e-9);
@@ -169,13 +171,13 @@
     return *account.remote_counts.insert(at, remote_count{.entry = entry});
 }
 
-// What was told before that which is known, and came after it by another way.
+// Whether a newer count is known already; reports may overtake each other on different paths.
 bool is_outdated(const remote_count& known, const usage_count& count, base::instant at) {
     return known.count_id == count.count_id ? count.age < known.age : at < known.at;
 }
 
-// Takes one team's count. Of a count that began before this entry did, what it held at first is
-// from before.
+// Applies another entry's count of one team. If the count started before this entry did, its first
+// value is older usage and only serves as the base for later ones.
 void apply_count(ledger& state, const peer_entry& from, const usage_count& count, base::instant at,
                  base::instant now, const quota_rules& rules) {
     const auto team = state.teams.find(count.team);
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -11,14 +11,13 @@
 #include <set>
 #include <vector>
 
-// Distributed rate limiting: one token bucket a team over all entries, without a server that
-// counts.
+// Distributed rate limiting: one token bucket per team over all entries, without a central counter.
 //
-// Each entry counts what it lets through and tells the others, and each works out the bucket's
-// level from all counts. Where a team asks for more than its rate, every entry lets through the
-// same part of what it is asked for, so that the bucket neither overflows nor runs dry. Entries
-// that are not heard have a part of the limit reserved for them. Time is handed in; nothing here
-// does I/O.
+// Each entry counts the usage that it admits and reports it to the others, and each computes the
+// bucket's level from all counts. If a team requests more than its rate, every entry admits the
+// same fraction of the requests it receives, so that the bucket neither overflows nor stays empty.
+// A share of the limit is reserved for entries that are silent. The caller passes the current time;
+// nothing here does I/O.
 namespace camphorrail::quota {
 
 // An amount in the unit of a team's quota: tokens or requests.
@@ -28,53 +27,55 @@
     auto operator<=>(const units&) const = default;
 };
 
-// How far operators let the sum over all entries go above the quota, in any window of this length.
-// Without an excess or slack no window is looked at, and a quota is its rate and its burst.
+// How far the usage over all entries may exceed the quota within any window of this length. If both
+// excess and slack are 0, no window is checked and the quota is its rate and burst.
 struct tolerance {
     base::micros window = base::seconds(8);
-    // As a part of the quota in the window.
+    // As a fraction of the quota in the window.
     double excess = 0.0;
-    // In units, on top.
+    // In units, in addition to the excess.
     double slack = 0.0;
 };
 
 struct quota_rules {
     tolerance window_tolerance;
-    // Part of the tolerance that teams are given; the rest is for what entries learn late.
+    // Fraction of the tolerance that is granted to teams. The rest covers usage that entries learn
+    // about late.
     double tolerance_fraction = 0.4;
-    // Where operators look at windows, a team may use all that a window allows, its burst included,
-    // in each of them. This part of what goes beyond its rate is given out evenly, the rest as the
-    // size of the bucket.
+    // With a window tolerance, a team may use all that a window allows, its burst included, in each
+    // window. This fraction of what exceeds the rate is granted evenly over time, the rest as
+    // bucket capacity.
     double steady_fraction = 0.7;
-    // A bucket that is above or below empty is brought back there within this time.
+    // A positive or negative balance is worked off within this time.
     base::micros rebalance_time = base::milliseconds(500);
-    // A team owes at most what it is given in this time.
+    // A team's debt is limited to what it is granted in this time.
     base::micros max_debt_time = base::seconds(2);
     // Demand is averaged over this time.
     base::micros demand_window = base::seconds(1);
-    // Entries have told each other of what they let through within this time.
+    // Time within which the entries have received each other's usage reports.
     base::micros report_delay = base::milliseconds(150);
-    // An entry that has told nothing for this long may have been cut off. The more entries there
-    // are, the less often they tell.
+    // An entry without a report for this long is treated as silent, since it may be partitioned.
+    // The timeout grows with the number of entries, which then report less often.
     base::micros silence_timeout = base::milliseconds(600);
     base::micros silence_timeout_per_entry = base::milliseconds(3);
-    // One that is cut off and no longer listed serves no callers after this time.
+    // A partitioned entry that is no longer listed stops serving clients after this time.
     base::micros unlisted_timeout = base::seconds(6);
-    // Part of the limit that is reserved for silent entries alike, whatever they were asked for.
+    // Fraction of the limit that is reserved for silent entries in equal shares, whatever their
+    // demand was.
     double even_fraction = 0.25;
-    // Entries that start at once know of each other this long after they are listed themselves.
-    // Until then each takes a small part.
+    // Entries that start at the same time know of each other this long after they are listed
+    // themselves. Until then each uses the small share below.
     base::micros list_delay = base::milliseconds(150);
     double unsettled_share = 1.0 / 32;
-    // An entry that has run for this long and is not listed goes by the list as it is.
+    // An entry that has run for this long without being listed relies on the list as it is.
     base::micros max_settling_time = base::seconds(10);
-    // Who is silent is looked at this often.
+    // Interval between checks for silent entries.
     base::micros silence_check_interval = base::milliseconds(20);
-    // Callers of a request that is larger than its team's quota are told to wait for this long.
+    // `Retry-After` of a request that is larger than its team's quota.
     base::micros unservable_retry_after = base::minutes(1);
-    // A count is told once an entry has been asked for its part of this much of the bucket, and
-    // when it has changed at all after the longer time; again after the longest, in case it was
-    // lost.
+    // A count is reported once the requested amount exceeds the entry's share of this fraction of
+    // the bucket capacity, and after `max_report_delay` for any change. It is repeated after
+    // `report_refresh_interval` in case a report was lost.
     double report_fraction = 0.5;
     base::micros max_report_delay = base::milliseconds(500);
     base::micros report_refresh_interval = base::seconds(2);
@@ -82,161 +83,163 @@
     base::micros idle_timeout = base::seconds(20);
 };
 
-// What an entry has let through, and was asked for, of one team since it began to count.
+// One entry's admitted and requested amount of one team since its count started.
 struct usage_count {
     base::team_id team;
-    // Tells this count from an earlier one of the same entry.
+    // Distinguishes this count from earlier ones of the same entry.
     std::int64_t count_id = 0;
-    // How long ago it began.
+    // Time since the count started.
     base::micros age{0};
     units used;
     units requested;
 };
 
-// What one entry tells the others.
+// The usage that one entry reports to the others.
 struct usage_report {
     base::entry_id from;
-    // How long another entry had it that passed it on. It may have lain unread besides.
+    // How long a relaying entry held the report. It may also have waited unread, which this does
+    // not include.
     base::micros age{0};
-    // How long the entry had been running when it wrote this.
+    // Uptime of the sender when it wrote the report.
     base::micros uptime{0};
     // Teams whose count has changed.
     std::vector<usage_count> counts;
 };
 
-// Another entry, as far as its news have come.
+// Another entry, as known from its reports and the list.
 struct peer_entry {
-    // Stands for its id in the accounts.
+    // Identifies the entry in the accounts.
     std::uint32_t index = 0;
     bool listed = false;
-    // When what it told last was written; nothing where it has told nothing.
+    // When the last report was written; empty if there was none.
     std::optional<base::instant> last_report_at;
     base::sender_clock clock;
     base::instant known_since{};
     bool silent = true;
 };
 
-// What another entry has told of one team.
+// Another entry's count of one team.
 struct remote_count {
     std::uint32_t entry = 0;
     std::int64_t count_id = 0;
-    // How old the count was by the teller's clock.
+    // Age of the count by the sender's clock.
     base::micros age{0};
     std::int64_t used = 0;
     std::int64_t requested = 0;
-    // What it is asked for, in units a second, and when it told so.
+    // The entry's demand in units per second, and when it was reported.
     double demand = 0.0;
     base::instant at{};
-    // Part of the limit that is reserved for it while it is silent.
+    // Share of the limit that is reserved for the entry while it is silent.
     double reserved = 0.0;
 };
 
-// Units that this entry let through lately and that others may not know of yet.
+// Usage that this entry admitted recently and that other entries may not know of yet.
 struct recent_use {
     base::instant at{};
     std::int64_t cost = 0;
 };
 
-// A team's bucket as this entry sees it.
+// A team's bucket as seen by this entry.
 struct team_account {
     routes::team_quota limit;
-    // Units left of the whole bucket by all that is known; below 0 where more was let through.
+    // Units left in the whole bucket by all known counts; negative if too much was admitted.
     double balance = 0.0;
     base::instant refilled_at{};
-    // This entry's count, and when it began.
+    // This entry's own count, and when it started.
     std::int64_t count_id = 0;
     base::instant count_started_at{};
     base::instant changed_at{};
     std::int64_t used = 0;
     std::int64_t requested = 0;
-    // Of the requests refused here.
+    // Number of requests rejected by this entry.
     std::int64_t refused = 0;
-    // Since it was last told.
+    // Amounts since the last report.
     std::int64_t unreported_requested = 0;
     bool unreported = false;
     base::instant reported_at{};
     double own_demand = 0.0;
     base::instant own_demand_at{};
     std::vector<recent_use> recent_uses;
-    // Other entries' counts, in the order of their index.
+    // Other entries' counts, ordered by entry index.
     std::vector<remote_count> remote_counts;
 };
 
-// Another entry has fallen silent, or is heard again.
+// Another entry has become silent or reachable.
 struct silence_change {
     base::entry_id entry;
     bool silent = false;
 };
 
-// All that one entry knows of the teams' quotas.
+// One entry's state of all teams' quotas.
 struct ledger {
-    // When this entry began to count; nothing before it was asked for anything.
+    // When this entry started to count; empty before its first call.
     std::optional<base::instant> started_at;
-    // When this entry was first seen on the list of entries, and whether that can be relied upon.
+    // When this entry first appeared on the list of entries, and whether the list can be relied on.
     std::optional<base::instant> listed_at;
     bool settled = false;
     std::uint32_t last_index = 0;
     base::instant silence_checked_at{};
-    // Not yet given by `silence_changes`.
+    // Changes not yet returned by `silence_changes`.
     std::vector<silence_change> changes;
-    // Indices of the entries that are heard.
+    // Indices of the entries that are not silent.
     std::set<std::uint32_t> reachable;
     std::map<base::entry_id, peer_entry> peers;
     std::map<base::team_id, team_account> teams;
 };
 
-// Takes the limits of a configuration. Teams without one have no account.
+// Applies the limits of a configuration. Teams without a limit have no account.
 void set_limits(ledger& state, const std::vector<routes::team>& teams, base::instant now,
                 const quota_rules& rules);
 
-// The entries that the platform lists.
+// The entries listed by the platform.
 struct listed_entries {
     std::set<base::entry_id> others;
-    // This entry is one of them, in this life or an earlier one.
+    // Whether this entry is listed, in this incarnation or an earlier one.
     bool includes_self = false;
 };
 void set_entries(ledger& state, const listed_entries& listed, base::instant now,
                  const quota_rules& rules);
 
-// Whether a request is let through, and what that was decided by.
+// Whether a request is admitted, and the figures behind the decision.
 struct decision {
     bool admitted = true;
-    // When the caller may come back, if it was refused.
+    // When the client may retry a rejected request.
     base::micros retry_after{0};
-    // Units left over all entries, what the team asks for and is given in a second, and the part of
-    // its limit that this entry and those it hears may use.
+    // Units left over all entries, the team's demand and granted rate in units per second, and the
+    // share of its limit that this entry and those reachable from it may use.
     double balance = 0.0;
     double demand = 0.0;
     double rate = 0.0;
     double share = 1.0;
 };
 
-// Decides on a request and, where it is admitted, charges the team. `lot`, any number that differs
-// between requests, draws which of them are refused. Teams without an account are admitted.
+// Decides on a request and charges the team if it is admitted. `draw_key`, any number that differs
+// between requests, determines which of them are rejected. Teams without an account are always
+// admitted.
 decision admit(ledger& state, const base::team_id& team, units cost, std::uint64_t draw_key,
                base::instant now, const quota_rules& rules);
 
-// Corrects a charge once it is known what upstreams ran of the request.
+// Corrects a charge once it is known how much of the request upstreams ran.
 void adjust_charge(ledger& state, const base::team_id& team, units charged, units ran,
                    base::instant now);
 
-// Takes what another entry told, itself or through a third one.
+// Applies a usage report received from another entry directly or through a relay.
 void apply_report(ledger& state, const usage_report& report, base::instant now,
                   const quota_rules& rules);
 
 // How long this entry has been counting.
 base::micros uptime(const ledger& state, base::instant now);
 
-// The counts to tell now: those that have changed by enough to matter, or long ago. Drops those
-// that have long been idle.
+// Returns the counts that are due for a report: those that changed by enough to matter, or whose
+// last report is long ago. Drops counts that have been idle.
 std::vector<usage_count> collect_counts(ledger& state, base::instant now, const quota_rules& rules);
 
-// Finds out who is heard; to be asked every so often. Gives what has changed since it was last
-// asked.
+// Updates which entries are silent and returns the changes since the last call. To be called
+// periodically.
 std::vector<silence_change> silence_changes(ledger& state, base::instant now,
                                             const quota_rules& rules);
 
-// One team's quota as operators are shown it.
+// A team's quota status as shown to operators.
 struct team_quota_status {
     base::team_id team;
     routes::team_quota limit;
--- a/src/quota/quota_fleet_tests.cpp
+++ b/src/quota/quota_fleet_tests.cpp
@@ -24,13 +24,13 @@
 constexpr int step_ms = 10;
 constexpr int report_period_ms = 50;
 constexpr int window_ms = 8000;
-// A lower limit binds one window after this time.
+// A reduced limit must hold in every window that begins this long after the change.
 constexpr int config_ms = 3000;
 constexpr double excess = 0.1;
 
-// Entries that tell each other what they let through, over links that are late and stand still,
-// with entries that are cut off, stand still, start again, come and go; and callers of two teams,
-// whose demand differs between the entries and changes all the time. All by one seed.
+// Entries that report usage to each other over links that are delayed or stall, with entries that
+// are partitioned, paused, restarted, added and removed, and clients of two teams whose demand
+// differs between entries and changes over time. The seed determines the whole run.
 struct quota_simulation {
     struct node {
         quota::ledger state;
@@ -39,11 +39,11 @@
         int paused_until = 0;
         int down_until = 0;
         int partitioned_until = 0;
-        // Its place on the platform's list stands from then on.
+        // The platform lists the entry from this time on.
         int listed_from = -100'000;
-        // Part of the callers that come here.
+        // Relative part of the clients that connect to this entry.
         double weight = 1.0;
-        // When the configuration in force here is replaced.
+        // Times at which this entry's configuration is replaced.
         std::vector<std::pair<int, double>> limits;
     };
     struct message {
@@ -51,7 +51,7 @@
         std::size_t to = 0;
         quota::usage_report report;
     };
-    // What reached an engine.
+    // A request that reached an engine.
     struct run {
         int at_ms = 0;
         std::int64_t cost = 0;
@@ -73,7 +73,7 @@
     std::int64_t refused_calm = 0;
     std::int64_t requested_calm = 0;
 
-    // `slack`: as a part of the rate.
+    // `slack` is a fraction of the rate.
     quota_simulation(std::uint64_t seed, std::size_t entries, double rate, double slack = 1.0)
         : random{seed} {
         this->rules.window_tolerance = {milliseconds(window_ms), excess, rate * slack};
@@ -149,7 +149,8 @@
         report.counts = quota::collect_counts(node_state.state, at(now), this->rules);
         for (std::size_t to = 0; to < this->nodes.size(); ++to) {
             if (to != from) {
-                // A link keeps its order: what is lost on the way comes late, and all after it.
+                // Links keep their order: a lost message arrives late and delays all messages after
+                // it.
                 auto& stalled_until = this->link_stalled_until[{from, to}];
                 const int arrives_ms = std::max(now + 1 + this->below(30), stalled_until);
                 stalled_until = arrives_ms;
@@ -243,7 +244,7 @@
             break;
         }
         case 3:
-            // All links stand still for a while.
+            // All links stall for a while.
             for (std::size_t each = 0; each < this->nodes.size(); ++each) {
                 this->link_stalled_until[{each,
                                           base::random_below(this->random, this->nodes.size())}] =
@@ -251,7 +252,7 @@
             }
             break;
         case 4:
-            // So long that their places on the list have lapsed.
+            // All entries are down for so long that their list entries expire.
             for (auto& each : this->nodes) {
                 each.down_until = now + 3000 + this->below(600);
                 each.listed_from = each.down_until + 100 + this->below(100);
@@ -266,7 +267,7 @@
             }
             break;
         case 7:
-            // Half of them can't reach the others; it heals by itself.
+            // Half of the entries can't reach the other half for a while.
             for (std::size_t each = 0; each < this->nodes.size() / 2; ++each) {
                 for (std::size_t other = this->nodes.size() / 2; other < this->nodes.size();
                      ++other) {
@@ -287,7 +288,7 @@
         const double first = this->limits.at(busy).front().second;
         this->limits[busy].emplace_back(now, std::clamp(rate, first / 3, first * 3));
         for (auto& each : this->nodes) {
-            // Entries that can't take the change now do so when they can.
+            // A paused entry applies the change once it runs again.
             this->set_limits(each, std::max(now, 0));
         }
     }
@@ -320,7 +321,7 @@
         }
     }
 
-    // The highest limit that may bind a window that ends then.
+    // The highest limit that may apply to a window that ends at this time.
     [[nodiscard]] double binding_limit(const base::team_id& team, int end_ms) const {
         double highest = 0.0;
         const auto& all = this->limits.at(team);
@@ -333,7 +334,7 @@
         return highest;
     }
 
-    // The largest part of what a window may hold that any window has held.
+    // The highest usage of any window, as a fraction of what it allows.
     [[nodiscard]] double fullest_window(const base::team_id& team) const {
         const auto found = this->runs.find(team);
         if (found == this->runs.end()) {
@@ -365,10 +366,9 @@
 
 } // namespace
 
-// The failure: entries that are cut off, stand still, start again or hear late give out, together,
-// more than a team's quota.
-TEST_CASE("no window holds more than the quota over all entries, whatever happens to them",
-          "[quota][schedule]") {
+// Guards against entries that together admit more than a team's quota while some are partitioned,
+// paused, restarted or receive reports late.
+TEST_CASE("no window exceeds the quota over all entries under any fault", "[quota][schedule]") {
     const double slack = GENERATE(1.0, 0.1);
     CAPTURE(slack);
     double fullest = 0.0;
@@ -385,20 +385,21 @@
         }
     };
 
-    SECTION("on many schedules") {
+    SECTION("on many random schedules") {
         for (std::uint64_t seed = 1; seed <= seed_count(60); ++seed) {
             simulate(seed);
         }
         UNSCOPED_INFO("fullest window " << fullest);
         CHECK(fullest > 0.5);
     }
-    SECTION("on one where it did") {
+    SECTION("on a schedule that once exceeded it") {
         simulate(314);
     }
 }
 
-// The failure: a team whose callers come to a few entries is given only those entries' even parts.
-TEST_CASE("callers that are uneven over the entries are given the whole quota", "[quota]") {
+// Guards against granting a team only the equal shares of the few entries that its clients connect
+// to.
+TEST_CASE("clients distributed unevenly over the entries get the whole quota", "[quota]") {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         quota_simulation simulation(seed, 22, 200'000);
@@ -415,9 +416,8 @@
     }
 }
 
-// The failure: callers of a team that asks for less than its quota are refused.
-TEST_CASE("a team below its quota is refused nothing while the entries hear each other",
-          "[quota]") {
+// Guards against rejecting clients of a team that requests less than its quota.
+TEST_CASE("a team below its quota is not rejected while the entries reach each other", "[quota]") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
         quota_simulation simulation(seed, 22, 60'000);
--- a/src/quota/quota_tests.cpp
+++ b/src/quota/quota_tests.cpp
@@ -13,7 +13,7 @@
 
 const base::team_id north{"north"};
 
-// One entry's ledger, with the time in milliseconds.
+// The ledger of one entry, with times in milliseconds.
 struct entry {
     quota::ledger state;
     quota::quota_rules rules;
@@ -33,7 +33,7 @@
                             at(ms), this->rules);
     }
 
-    // Asks for the same again and again, and gives how much was let through.
+    // Sends the same request repeatedly and returns the admitted amount.
     std::int64_t request_repeatedly(std::int64_t cost, int from_ms, int to_ms, int every_ms) {
         std::int64_t admitted_cost = 0;
         for (int now = from_ms; now < to_ms; now += every_ms) {
@@ -47,7 +47,7 @@
         this->receive_late_report(from, ms, ms, used, checks, began_ms);
     }
 
-    // What was told at one time and lay unread until another.
+    // Receives at `ms` a report that was sent at `sent_ms` and waited unread.
     void receive_late_report(const std::string& from, int sent_ms, int ms, std::int64_t used,
                              std::int64_t checks, int began_ms = 0) {
         quota::apply_report(this->state,
@@ -61,24 +61,24 @@
 
 } // namespace
 
-TEST_CASE("a team without a quota is let through and leaves nothing behind", "[quota]") {
+TEST_CASE("a team without a quota is admitted and has no account", "[quota]") {
     entry node;
     node.limit(0, 0, 0);
     CHECK(node.request_repeatedly(1'000'000, 0, 1000, 10) == 100'000'000);
     CHECK(node.state.teams.empty());
 }
 
-TEST_CASE("an entry by itself gives a team its rate and its burst", "[quota]") {
+TEST_CASE("a single entry grants a team its rate and its burst", "[quota]") {
     entry node;
     node.limit(1000, 2000, 0);
     CHECK(node.request_repeatedly(50, 10'000, 11'000, 100) == 500);
 
-    SECTION("and no more, however much it asks for") {
+    SECTION("and no more, whatever the demand") {
         const auto admitted_cost = node.request_repeatedly(50, 20'000, 30'000, 5);
         CHECK(admitted_cost <= 10 * 1000 + 2000 + 600);
         CHECK(admitted_cost >= 10 * 1000 + 2000 - 600);
     }
-    SECTION("and says when there is room again, to each caller something else") {
+    SECTION("and gives rejected clients differing retry delays") {
         node.request_repeatedly(50, 20'000, 30'000, 5);
         std::set<std::int64_t> hints;
         for (int each = 0; each < 40; ++each) {
@@ -91,45 +91,44 @@
         }
         CHECK(hints.size() > 20);
     }
-    SECTION("which is there again after a rest") {
+    SECTION("which is available again after an idle time") {
         node.request_repeatedly(50, 20'000, 30'000, 5);
         CHECK(node.request_repeatedly(50, 40'000, 40'100, 5) == 1000);
         CHECK(node.request_repeatedly(50, 40'100, 40'300, 5) <= 1000 + 300 + 500);
     }
 }
 
-// The failure: an entry that has just started gives a team a whole burst that others gave it just
-// before.
-TEST_CASE("a process that has just started begins with an empty bucket", "[quota]") {
+// Guards against an entry that grants a whole burst just after its start although other entries
+// have granted it already.
+TEST_CASE("a process that has just started has an empty bucket", "[quota]") {
     entry node;
     node.limit(1000, 5000, 0);
     CHECK(node.request_repeatedly(50, 3000, 4000, 5) <= 3000 + 1000 + 600);
 }
 
-// The failure: entries that all start at once each take the whole limit, since the platform's list
-// does not name the others yet.
-TEST_CASE("until the list of entries can be relied upon an entry takes a small part", "[quota]") {
+// Guards against entries that start at the same time and each use the whole limit, since the
+// platform's list does not name the others yet.
+TEST_CASE("an entry uses a small share until the list of entries is reliable", "[quota]") {
     entry node;
     node.limit(64'000, 64'000, 0);
     CHECK(node.admit(50, 10).share <= 1.0 / 32);
 
-    SECTION("unless another one is there that has been running") {
+    SECTION("unless it hears from an entry that has been running") {
         node.receive_report("entry-2", 20, 0, 0);
         CHECK(node.admit(50, 60).share > 0.9);
     }
-    SECTION(
-        "until it has been listed itself for a moment, and so have those that started with it") {
+    SECTION("until it has been listed for longer than the list delay") {
         quota::set_entries(node.state, {{{"entry-2"}, {"entry-3"}}, true}, entry::at(20),
                            node.rules);
         CHECK(node.admit(50, 60).share <= 1.0 / 32);
         CHECK(node.admit(50, 200).share == Approx(1.0 / 3));
     }
-    SECTION("for a while") {
+    SECTION("until the settling time has passed") {
         CHECK(node.admit(50, 10'100).share == 1.0);
     }
 }
 
-TEST_CASE("what other entries let through counts too", "[quota]") {
+TEST_CASE("usage admitted by other entries counts", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     quota::set_entries(node.state, {{{"entry-2"}}, true}, entry::at(0), node.rules);
@@ -138,18 +137,18 @@
     }
     CHECK(node.request_repeatedly(10, 10'000, 10'100, 1) < 1000);
 
-    SECTION("once, however often it is told") {
+    SECTION("once, however often it is reported") {
         const auto before = node.admit(10, 10'100).balance;
         node.receive_report("entry-2", 10'101, 10'000, 10'000);
         node.receive_report("entry-2", 10'102, 10'000, 10'000);
         CHECK(node.admit(10, 10'103).balance > before - 50);
     }
-    SECTION("and what it gives back is free again") {
+    SECTION("and refunded usage is available again") {
         const auto before = node.admit(1, 10'100).balance;
         node.receive_report("entry-2", 10'101, 9'000, 10'000);
         CHECK(node.admit(1, 10'102).balance > before + 900);
     }
-    SECTION("also after it has started again and counts anew") {
+    SECTION("also after a restart with a new count") {
         const auto before = node.admit(1, 11'100).balance;
         quota::apply_report(
             node.state,
@@ -161,9 +160,9 @@
     }
 }
 
-// The failure: what an entry has let through first is missed by those that started after it, and
-// they give it out once more.
-TEST_CASE("the first count that an entry tells is all new to entries that started after it",
+// Guards against entries that miss the first usage admitted by an entry that started before them,
+// and grant it once more.
+TEST_CASE("the whole first count of an entry is new to entries that are already running",
           "[quota]") {
     entry reporter;
     entry receiver;
@@ -183,7 +182,7 @@
     send_report(11'010);
     CHECK(receiver.admit(1, 11'010).balance < before - 800);
 
-    SECTION("also once it has begun to count anew after a rest") {
+    SECTION("also when a new count starts after an idle time") {
         send_report(60'000);
         const auto rested = receiver.admit(1, 60'000).balance;
         CHECK(reporter.request_repeatedly(100, 60'000, 60'009, 1) == 900);
@@ -192,16 +191,16 @@
     }
 }
 
-// The failure: an entry that a cut hides goes on serving, and the others give out its part as well.
-TEST_CASE("a part of the limit is reserved for an entry that is not heard", "[quota]") {
+// Guards against granting the share of a partitioned entry that still serves clients.
+TEST_CASE("a share of the limit is reserved for a silent entry", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     quota::set_entries(node.state, {{{"entry-2"}, {"entry-3"}}, true}, entry::at(0), node.rules);
 
-    SECTION("an even one where it never was") {
+    SECTION("an equal share if it never reported") {
         CHECK(node.admit(10, 10'000).share == Approx(1.0 / 3));
     }
-    SECTION("as large as its part of the demand was") {
+    SECTION("in proportion to its last part of the demand") {
         for (int now = 0; now <= 5000; now += 50) {
             node.receive_report("entry-2", now, now, now);
             node.receive_report("entry-3", now, 0, 0);
@@ -216,11 +215,11 @@
         CHECK(left > 0.1);
         CHECK(quota::silence_changes(node.state, entry::at(6000), node.rules).back().silent);
 
-        SECTION("until it is heard again") {
+        SECTION("until it reports again") {
             node.receive_report("entry-2", 6100, 6000, 6000);
             CHECK(node.admit(10, 6150).share == 1.0);
         }
-        SECTION("or it is no longer listed and can serve nobody") {
+        SECTION("or it has been unlisted for so long that it serves no clients") {
             quota::set_entries(node.state, {{{"entry-3"}}, true}, entry::at(6200), node.rules);
             CHECK(node.admit(10, 6200).share < 0.3);
             for (int now = 6200; now <= 13'000; now += 50) {
@@ -232,9 +231,10 @@
     }
 }
 
-// The failure: a process that stood still wakes with an old view, and lets through at once what has
-// come for it meanwhile.
-TEST_CASE("an entry that wakes takes the others for silent before it serves", "[quota]") {
+// Guards against a process that resumes after a pause and admits all waiting requests on its
+// outdated state.
+TEST_CASE("an entry that resumes treats the others as silent before it admits requests",
+          "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     for (int now = 0; now <= 5000; now += 50) {
@@ -244,9 +244,9 @@
     CHECK(node.request_repeatedly(50, 12'000, 12'050, 1) <= 450);
 }
 
-// The failure: news are taken for as new as the moment at which they are read, and what has been
-// reserved since for an entry that is cut off is given out here as well.
-TEST_CASE("news that lay unread say nothing of now", "[quota]") {
+// Guards against dating reports by the time at which they are read: usage reserved meanwhile for a
+// partitioned entry would be granted here as well.
+TEST_CASE("reports that waited unread are not evidence of the present", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     quota::set_entries(node.state, {{{"entry-2"}}, true}, entry::at(0), node.rules);
@@ -255,25 +255,25 @@
         node.admit(1, now);
     }
 
-    SECTION("an entry is not heard by them") {
+    SECTION("they do not make an entry reachable") {
         for (int reported = 5050; reported <= 6000; reported += 50) {
             node.receive_late_report("entry-2", reported, 12'000, reported, reported);
         }
         CHECK(node.admit(1, 12'000).share < 0.5);
         CHECK(quota::silence_changes(node.state, entry::at(12'000), node.rules).back().silent);
 
-        SECTION("until newer ones come") {
+        SECTION("until newer reports arrive") {
             node.receive_report("entry-2", 12'050, 12'050, 12'050);
             CHECK(node.admit(1, 12'100).share == 1.0);
         }
     }
-    SECTION("older ones that come after newer ones change no count") {
+    SECTION("older reports that arrive after newer ones change no count") {
         const double before = node.admit(1, 5010).balance;
         node.receive_late_report("entry-2", 4000, 5010, 4000, 4000);
         CHECK(node.admit(1, 5010).balance <= before);
         CHECK(node.admit(1, 5010).demand >= 900);
     }
-    SECTION("those of its earlier life leave the present one heard") {
+    SECTION("reports of an earlier incarnation leave the present one reachable") {
         quota::apply_report(node.state, {{"entry-2"}, {}, milliseconds(300), {}}, entry::at(7000),
                             node.rules);
         node.receive_late_report("entry-2", 5050, 7010, 5050, 5050);
@@ -285,9 +285,9 @@
     }
 }
 
-// The failure: entries whose clocks run apart, or stand still with their VM, take each other for
-// silent for good.
-TEST_CASE("an entry is heard whatever its clock does", "[quota]") {
+// Guards against entries that treat each other as silent forever because their clocks drift or stop
+// with their VM.
+TEST_CASE("an entry stays reachable whatever its clock does", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     quota::set_entries(node.state, {{{"entry-2"}}, true}, entry::at(0), node.rules);
@@ -296,7 +296,7 @@
                             entry::at(ms), node.rules);
     };
 
-    SECTION("it runs slow") {
+    SECTION("its clock runs slow") {
         constexpr int hour_ms = 3'600'000;
         int reachable_checks = 0;
         int checks = 0;
@@ -307,7 +307,7 @@
         }
         CHECK(reachable_checks == checks);
     }
-    SECTION("it stood still with its VM") {
+    SECTION("its clock stopped with its VM") {
         for (int now = 0; now <= 60'000; now += 100) {
             receive_from(now, now);
         }
@@ -316,7 +316,7 @@
         }
         CHECK(node.admit(1, 95'000).share == 1.0);
     }
-    SECTION("it has started again, after a short life too") {
+    SECTION("it restarted, also after a short run") {
         const int first_run_ms = GENERATE(400, 3000, 60'000);
         for (int now = 0; now <= first_run_ms; now += 100) {
             receive_from(now, now);
@@ -328,35 +328,36 @@
     }
 }
 
-TEST_CASE("a changed quota holds at once", "[quota]") {
+TEST_CASE("a changed quota applies at once", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     CHECK(node.request_repeatedly(10, 10'000, 10'010, 5) == 20);
 
-    SECTION("a lower one") {
+    SECTION("a lower quota") {
         node.limit(100, 100, 10'020);
         CHECK(node.request_repeatedly(10, 10'020, 14'020, 5) <= 4 * 100 + 100 + 100);
     }
-    SECTION("a higher one, with its burst") {
+    SECTION("a higher quota, with its burst") {
         node.request_repeatedly(50, 10'020, 14'000, 5);
         node.limit(4000, 4000, 14'000);
         CHECK(node.request_repeatedly(50, 14'000, 15'000, 5) >= 5500);
     }
-    SECTION("several in a row") {
+    SECTION("several changes in a row") {
         node.limit(100, 100, 10'020);
         node.limit(5000, 5000, 10'030);
         node.limit(200, 200, 10'040);
         CHECK(node.request_repeatedly(10, 10'050, 14'050, 5) <= 4 * 200 + 200 + 200);
     }
-    SECTION("and none leaves nothing behind") {
+    SECTION("and a removed quota leaves no account") {
         node.limit(0, 0, 10'020);
         CHECK(node.state.teams.empty());
         CHECK(node.admit(1'000'000, 10'030).admitted);
     }
 }
 
-// The failure: one request that claims to be huge has all others of its team refused.
-TEST_CASE("a request larger than its team's quota is refused and counts for nothing", "[quota]") {
+// Guards against a single request with a huge claimed cost that causes all others of its team to be
+// rejected.
+TEST_CASE("a request larger than its team's quota is rejected and not counted", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     const auto refused = node.admit(std::int64_t{1} << 41, 10'000);
@@ -365,7 +366,7 @@
     CHECK(node.admit(100, 10'001).admitted);
 }
 
-TEST_CASE("what has not run is given back", "[quota]") {
+TEST_CASE("the charge of requests that did not run is refunded", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     const double before = node.admit(100, 10'000).balance;
@@ -375,9 +376,10 @@
     CHECK(node.admit(1, 10'000).balance == Approx(before - 200));
 }
 
-// The failure: in a team that is over its quota, many small requests take all there is and its
-// large ones are never served.
-TEST_CASE("large and small requests of a team over its quota pass alike", "[quota]") {
+// Guards against starving the large requests of a team over its quota, because many small ones take
+// all the available units.
+TEST_CASE("large and small requests of a team over its quota are admitted at the same rate",
+          "[quota]") {
     entry node;
     node.limit(20'000, 20'000, 0);
     int small = 0;
@@ -394,7 +396,7 @@
     CHECK(large_part == Approx(small_part).epsilon(0.15));
 }
 
-TEST_CASE("counts are told when they have changed by enough to matter", "[quota]") {
+TEST_CASE("counts are reported when they have changed by enough to matter", "[quota]") {
     entry node;
     node.limit(1000, 1000, 0);
     const auto reported = [&node](int ms) {
@@ -405,15 +407,15 @@
     CHECK(reported(10'010) == 1);
     CHECK(reported(10'020) == 0);
 
-    SECTION("or after a while, however small the change") {
+    SECTION("or after a delay, however small the change") {
         node.admit(1, 10'030);
         CHECK(reported(10'040) == 0);
         CHECK(reported(10'600) == 1);
     }
-    SECTION("and now and then again, in case they were lost on the way") {
+    SECTION("and repeated at intervals, in case a report was lost") {
         CHECK(reported(12'500) == 1);
     }
-    SECTION("and begun anew after a long rest, so that all counts can be dropped") {
+    SECTION("and restarted after a long idle time, so that old counts can be dropped") {
         node.receive_report("entry-2", 10'000, 5, 5);
         reported(90'000);
         CHECK(reported(92'500) == 0);
