--- a/src/admission/queue.cpp
+++ b/src/admission/queue.cpp
@@ -26,8 +26,8 @@
     return left.target < right.target;
 }
 
-// The least that any waiting team has had. A team that was quiet starts from here: otherwise it
-// would be owed all the time it did not use, and shut the others out until that was paid back.
+// The least served work of any waiting team. A team that was idle starts from here; otherwise it
+// would be owed all the time that it did not use and block the other teams until that is made up.
 double min_served_work(const request_queue& queue) {
     double least = std::numeric_limits<double>::infinity();
     for (const queued_request& request : queue.requests) {
--- a/src/admission/queue.h
+++ b/src/admission/queue.h
@@ -11,52 +11,55 @@
 
 namespace camphorrail::admission {
 
-// One order that waits at an agent.
+// A request that waits at an agent.
 struct queued_request {
     base::attempt_id attempt;
     base::team_id team;
     int priority = 0;
     double share = 1.0;
-    // Prefill work it brings: its prompt's tokens not in the engine's cache, in time.
+    // Prefill time of the prompt tokens that are not in the engine's cache.
     base::micros work{0};
-    // When its first token is due, and when its caller's time runs out.
+    // Deadline of the first token, and of the whole request.
     base::instant target;
     base::instant deadline;
 };
 
-// Orders waiting at one agent. Higher priorities go first; within one, the team that has had least
-// for its share; within a team, the earliest target. Since every entry's orders meet here, shares
-// hold over all entries without a message between them.
+// The requests that wait at one agent. Higher priorities run first; within a priority, the team
+// that has received the least work relative to its share; within a team, the earliest target. Since
+// the requests of all entries meet here, shares hold over all entries without messages between
+// them.
 struct request_queue {
     std::vector<queued_request> requests;
-    // Work given to each team so far, divided by its share.
+    // Work served for each team so far, divided by its share.
     std::unordered_map<base::team_id, double> served_work;
     std::size_t capacity = 64;
 };
 
 struct admission_rules {
-    // From the preset in force: the longest wait admitted, in parts of the time to the target.
+    // Longest predicted wait that is admitted, as a fraction of the time until the target. Set by
+    // the active preset.
     double wait_to_target = 1.0;
     int lowest_priority = 0;
 };
 
-// Predicted wait of a new order: all work that would go before it, over what the engine has left.
+// Predicted wait of a new request: all queued work that would run before it, in addition to the
+// engine's own wait.
 base::micros predicted_wait(const request_queue& queue, int priority, base::micros engine_wait);
 
-// Whether an order should be taken. The refusal comes at once, while the caller can still go
-// elsewhere; an order that can't meet its target would only take time from those that can.
+// Whether to accept a request. It is rejected at once, while the client can still try elsewhere; a
+// request that can't meet its target would only delay requests that can.
 base::result<void> admit(const request_queue& queue, const queued_request& request,
                          base::micros engine_wait, base::instant now, const admission_rules& rules);
 
 void push(request_queue& queue, queued_request request);
 
-// The order to run next.
+// Removes and returns the request to run next.
 std::optional<queued_request> pop(request_queue& queue);
 
-// Takes out all orders whose deadline has passed.
+// Removes and returns all requests whose deadline has passed.
 std::vector<queued_request> remove_expired(request_queue& queue, base::instant now);
 
-// Takes out one order; false when it is not there.
+// Removes one request; returns false if it is not queued.
 bool remove(request_queue& queue, const base::attempt_id& attempt);
 
 } // namespace camphorrail::admission
--- a/src/admission/queue_tests.cpp
+++ b/src/admission/queue_tests.cpp
@@ -24,11 +24,11 @@
 
 } // namespace
 
-TEST_CASE("the queue at an agent", "[admission]") {
+TEST_CASE("the request queue of an agent", "[admission]") {
     admission::request_queue queue;
     queue.capacity = 1000;
 
-    SECTION("gives higher priorities first, and earlier targets within a team") {
+    SECTION("pops higher priorities first, and earlier targets first within a team") {
         admission::push(queue, request_of("quay", 2));
         admission::push(queue, request_of("quay", 1));
         admission::push(queue, request_of("pier", 9, 9));
@@ -36,9 +36,9 @@
         CHECK(admission::pop(queue)->attempt.value == "quay1");
     }
 
-    // A large team floods the queue; a small one has an order now and then. In order of arrival
-    // the small team's callers would wait behind all of the large one's.
-    SECTION("divides the engine by shares while both teams wait") {
+    // A large team floods the queue while a small one sends a request now and then. In arrival
+    // order the small team's clients would wait behind all of the large one's requests.
+    SECTION("divides the engine by shares while both teams have requests queued") {
         for (int number = 0; number < 300; ++number) {
             admission::push(queue, request_of("large", number, 5, 1.0));
             admission::push(queue, request_of("small", number, 5, 2.0));
@@ -51,7 +51,7 @@
         CHECK(given["small"] <= 201);
     }
 
-    SECTION("owes a team nothing for the time it was quiet") {
+    SECTION("gives a team no credit for idle time") {
         for (int number = 0; number < 100; ++number) {
             admission::push(queue, request_of("busy", number));
             if (number >= 50) {
@@ -68,7 +68,8 @@
         CHECK(quiet <= 11);
     }
 
-    SECTION("refuses at once what can't meet its target, and what is below the preset's priority") {
+    SECTION(
+        "rejects requests that can't meet their target, and those below the preset's priority") {
         CHECK(
             admission::admit(queue, request_of("quay", 0), base::micros{0}, start, {}).has_value());
         const auto late =
@@ -83,13 +84,13 @@
         CHECK(base::to_code(full.error()) == base::code::overloaded);
     }
 
-    SECTION("does not count lower priorities into a higher one's wait") {
+    SECTION("does not count lower priorities in the wait of a higher one") {
         admission::push(queue, request_of("quay", 0, 1));
         CHECK(admission::predicted_wait(queue, 9, base::micros{0}) == base::micros{0});
         CHECK(admission::predicted_wait(queue, 1, base::micros{0}) == base::milliseconds(100));
     }
 
-    SECTION("gives up what has expired and what was cancelled") {
+    SECTION("removes expired and cancelled requests") {
         admission::push(queue, request_of("quay", 1));
         admission::push(queue, request_of("quay", 2));
         CHECK(admission::remove(queue, {"quay1"}));
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -2,8 +2,9 @@
 
 namespace camphorrail::admission {
 
-// Retries allowed as a part of the requests: a fault that fails every attempt then multiplies the
-// load by 1.1 at most, where three attempts each would triple it just when capacity is short.
+// Limits retries to a fraction of the requests. A fault that fails every attempt then multiplies
+// the load by at most 1.1, while three attempts for each request would triple it just when capacity
+// is short.
 struct retry_budget {
     double tokens = 10.0;
     double max_tokens = 10.0;
@@ -16,7 +17,7 @@
                         : budget.tokens + budget.tokens_per_request;
 }
 
-// Takes one retry; false when the budget is spent.
+// Consumes one retry; returns false if the budget is spent.
 bool consume_retry(retry_budget& budget);
 
 } // namespace camphorrail::admission
--- a/src/admission/retry_budget_tests.cpp
+++ b/src/admission/retry_budget_tests.cpp
@@ -4,9 +4,9 @@
 
 using namespace camphorrail;
 
-// A third of the engines is down and every attempt there fails. Callers see their requests tried
-// again; without a bound the retries alone would fill the engines that are left.
-TEST_CASE("the retry budget bounds the orders sent during an outage", "[admission]") {
+// A third of the engines is down and every attempt on them fails. Without a limit, retries alone
+// would overload the remaining engines.
+TEST_CASE("the retry budget limits the attempts sent during an outage", "[admission]") {
     admission::retry_budget budget;
     int attempts = 0;
     constexpr int requests = 10000;
--- a/src/admission/retry_window.cpp
+++ b/src/admission/retry_window.cpp
@@ -32,7 +32,8 @@
         if (each.index < oldest || each.index > newest) {
             continue;
         }
-        // The oldest step is only partly within the stretch: its retries count, its requests don't.
+        // The window covers its oldest bucket only partly: the bucket's retries count, its requests
+        // don't.
         left += each.index == oldest ? 0.0 : window.retries_per_request * each.requests;
         left -= each.retries;
     }
--- a/src/admission/retry_window.h
+++ b/src/admission/retry_window.h
@@ -8,14 +8,15 @@
 
 namespace camphorrail::admission {
 
-// Retries allowed within any stretch of some seconds: a part of the requests of that stretch, and a
-// few more. Unlike a bucket that fills slowly, it lets many go at once when an upstream with many
-// answers under way breaks off; a bucket small enough for the same bound refused most of those.
+// Limits the retries within any sliding window of some seconds to a fraction of the window's
+// requests plus a constant. Unlike a token bucket that fills slowly, it allows many retries at once
+// when an upstream fails with many responses in flight; a bucket small enough for the same limit
+// rejected most of those.
 struct retry_window {
-    // The stretch, and the part of it that is counted together.
+    // Length of the window, and the number of buckets that it is counted in.
     base::micros span = base::seconds(10);
     static constexpr std::size_t bucket_count = 20;
-    // Retries a request, and further ones a stretch.
+    // Retries per request, and additional retries per window.
     double retries_per_request = 0.1;
     double extra_retries = 10.0;
 
@@ -24,16 +25,16 @@
         double requests = 0;
         double retries = 0;
     };
-    // One more than the stretch has, since the oldest is only partly over.
+    // One bucket more than the window has, since the window covers its oldest bucket only partly.
     std::array<bucket, bucket_count + 1> buckets{};
 };
 
 void record_request(retry_window& window, base::instant now);
 
-// Takes one retry; false where the window allows no more.
+// Consumes one retry; returns false if the window allows no more.
 bool consume_retry(retry_window& window, base::instant now);
 
-// Retries that are left now.
+// Number of retries allowed now.
 double remaining_retries(const retry_window& window, base::instant now);
 
 } // namespace camphorrail::admission
--- a/src/admission/retry_window_tests.cpp
+++ b/src/admission/retry_window_tests.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-// An engine with forty answers under way breaks off. All of them may go on elsewhere at once, if
+// An engine fails with forty responses in flight. All of them may be retried elsewhere at once if
 // the entry's requests of the last ten seconds allow it.
-TEST_CASE("a retry window lets many go at once", "[admission]") {
+TEST_CASE("a retry window allows many retries at once", "[admission]") {
     admission::retry_window window{.retries_per_request = 0.14, .extra_retries = 3};
     for (int request = 0; request < 300; ++request) {
         admission::record_request(window, at(request * 30));
@@ -28,21 +28,21 @@
     }
     CHECK(consumed == 45);
 
-    SECTION("and no more until they are ten seconds past") {
+    SECTION("and no more until they are ten seconds old") {
         admission::record_request(window, at(12000));
         CHECK_FALSE(admission::consume_retry(window, at(18900)));
         CHECK(admission::consume_retry(window, at(20000)));
     }
 }
 
-// A third of the engines is down and every attempt there fails. Whatever stretch of ten seconds the
-// operators look at, the retries in it are within the bound.
-TEST_CASE("a retry window bounds every stretch", "[admission]") {
+// A third of the engines is down and every attempt on them fails. The retries must stay within the
+// limit in every window of ten seconds that operators may check.
+TEST_CASE("a retry window limits the retries in every ten seconds", "[admission]") {
     admission::retry_window window{.retries_per_request = 0.14, .extra_retries = 3};
     std::vector<int> requests;
     std::vector<int> retries;
     for (int time = 0; time < 60000; time += 7) {
-        // Traffic that comes and goes.
+        // Intermittent traffic.
         if ((time / 5000) % 2 == 0 || time % 70 == 0) {
             admission::record_request(window, at(time));
             requests.push_back(time);
