--- a/src/membership/health.cpp
+++ b/src/membership/health.cpp
@@ -44,7 +44,7 @@
 }
 
 bool record_incarnation(health& state, std::int64_t engine_incarnation, base::instant now) {
-    // Reports may arrive late; an older life must not undo what is known of a newer one.
+    // Reports may arrive late; an older incarnation must not undo what is known of a newer one.
     if (engine_incarnation <= state.engine_incarnation) {
         return false;
     }
--- a/src/membership/health_tests.cpp
+++ b/src/membership/health_tests.cpp
@@ -9,9 +9,9 @@
     membership::health state;
     const base::instant start{base::seconds(100)};
 
-    // An engine fails each call at once. An entry that goes by load alone sees it as the idlest of
-    // all and sends it ever more; every caller of its prefixes gets an error.
-    SECTION("takes a failing engine out, for longer each time, and lets it back") {
+    // An engine fails each call at once. An entry that balances by load alone sees it as the least
+    // loaded and sends it ever more requests, so every client of its prefixes gets an error.
+    SECTION("ejects a failing engine for longer each time and readmits it") {
         for (int attempt = 0; attempt < rules.failures_to_eject; ++attempt) {
             CHECK(membership::is_usable(state, start));
             membership::record_failure(state, start, rules);
@@ -26,7 +26,7 @@
         CHECK(state.consecutive_ejections == 0);
     }
 
-    SECTION("notices a new life of the engine once, and ignores late reports of an older one") {
+    SECTION("detects a new engine incarnation once and ignores late reports of an older one") {
         CHECK_FALSE(membership::record_incarnation(state, 3, start));
         CHECK(membership::record_incarnation(state, 4, start));
         CHECK_FALSE(membership::record_incarnation(state, 3, start));
@@ -34,7 +34,8 @@
         CHECK(membership::slow_start_factor(state, start + rules.slow_start, rules) == 1.0);
     }
 
-    SECTION("is not restored by the lagging list of VMs once its agent says that it leaves") {
+    SECTION(
+        "stays draining by its agent's report although the outdated list of VMs does not say so") {
         state.draining = true;
         state.listed_draining = false;
         CHECK_FALSE(membership::is_usable(state, start));
