--- a/src/routes/operators_config.cpp
+++ b/src/routes/operators_config.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Host names are equal whatever their case, and a port does not count.
+// Host names are compared without case and port.
 std::string normalize_host(std::string_view host) {
     std::string normalized(host.substr(0, host.find(':')));
     std::transform(normalized.begin(), normalized.end(), normalized.begin(),
--- a/src/routes/operators_config_tests.cpp
+++ b/src/routes/operators_config_tests.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("a request finds its route", "[routes]") {
+TEST_CASE("a request is matched to the route with the longest prefix", "[routes]") {
     const auto config = sample_config();
     CHECK(route_of(config, "desk.example", "/a/x") == "all");
     CHECK(route_of(config, "desk.example", "/a/b/x") == "deep");
@@ -35,14 +35,14 @@
     CHECK(route_of(config, "none.example", "/a/").empty());
 }
 
-TEST_CASE("a key stands for one team", "[routes]") {
+TEST_CASE("an API key identifies one team", "[routes]") {
     const auto config = sample_config();
     CHECK(routes::find_team(config, "k2")->id.value == "north");
     CHECK(routes::find_team(config, "k3")->id.value == "south");
     CHECK(routes::find_team(config, "") == nullptr);
 }
 
-TEST_CASE("requests are spread over a route's pools by weight", "[routes]") {
+TEST_CASE("requests are distributed over a route's pools by weight", "[routes]") {
     const routes::route split{.destinations = {{{"old"}, 90}, {{"new"}, 10}}};
     int to_new = 0;
     for (std::uint64_t number = 0; number < 1000; ++number) {
