--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -15,17 +15,17 @@
            left.pool == right.pool && left.slots == right.slots;
 }
 
-// Further lives are older than any message on its way.
+// Older incarnations than these can't appear in any message still in flight.
 constexpr std::size_t max_previous_incarnations = 4;
 
-// Departed lives that are remembered, and for how long.
+// How many departed instances are remembered, and for how long.
 constexpr std::size_t max_departed = 256;
 constexpr base::minutes departed_lifetime{10};
 
-// One that asks for longer than this is asked again after it.
+// Maximum for the pause that an upstream may ask for; after it the upstream is tried again.
 constexpr base::minutes max_pause{10};
 
-// An upstream that begins to say when it started has not started again for that.
+// Whether the upstream has restarted. The first report of an incarnation is no restart.
 bool is_restart(base::upstream_incarnation before, base::upstream_incarnation after) {
     return before.value != 0 && before != after;
 }
@@ -224,9 +224,10 @@
     if (!suspected.empty()) {
         return suspected;
     }
-    // One that vanishes while the list has others of its pool has left, perhaps seconds ago: news
-    // come late behind a large configuration, and requests reached it beyond the bound. Entries run
-    // out all at once where the platform's store is away.
+    // An upstream that disappears while others of its pool are listed has left, perhaps seconds
+    // ago: list updates arrive late behind a large configuration, and requests reached such
+    // upstreams after the allowed time. During an outage of the platform's store, all list entries
+    // expire at once.
     return any_listed ? std::vector<member*>{} : last_resort;
 }
 
@@ -262,7 +263,7 @@
     if (!one.load || now - one.load_at > rules.load_report_ttl) {
         return in_flight;
     }
-    // The report counts the request that it came with, which has ended.
+    // The report includes the request whose response carried it, which has ended.
     return std::max(in_flight, one.load->running + one.load->waiting - 1);
 }
 
--- a/src/fleet/fleet_tests.cpp
+++ b/src/fleet/fleet_tests.cpp
@@ -27,10 +27,10 @@
 
 } // namespace
 
-// An engine crashes and starts again under its id, within a second and without leaving the list.
-// Were the beliefs of its earlier life kept, it would be shunned for that life's failures, taken
-// for busy with that life's requests, and asked for prompts that it has lost.
-TEST_CASE("an upstream that starts again is known by nothing of before", "[fleet]") {
+// Guards against keeping the state of an earlier incarnation when an engine crashes and restarts
+// under its id within a second, without leaving the list. It would be avoided for failures and load
+// of the earlier incarnation, and asked for prompts that it has lost.
+TEST_CASE("a restarted upstream keeps no state of its earlier incarnation", "[fleet]") {
     fleet::fleet state;
     auto listed = upstream("one");
     listed.incarnation = {500};
@@ -51,7 +51,7 @@
     CHECK(fleet::find_instance(state, {{"one"}, {new_incarnation}}) == &one);
     CHECK(fleet::find_instance(state, {{"one"}, {500}}) == nullptr);
 
-    SECTION("and a late heartbeat of its earlier life changes nothing") {
+    SECTION("and a late heartbeat of the earlier incarnation changes nothing") {
         one.local_work.in_flight = 1;
         listed.incarnation = {500};
         listed.draining = true;
@@ -62,7 +62,7 @@
     }
 }
 
-TEST_CASE("an upstream that begins to say when it started has not started again", "[fleet]") {
+TEST_CASE("the first report of an incarnation is no restart", "[fleet]") {
     fleet::fleet state;
     auto listed = upstream("one");
     fleet::apply_list(state, {listed}, at(0));
@@ -70,9 +70,10 @@
     CHECK(fleet::apply_list(state, {listed}, at(10)).restarted.empty());
 }
 
-// Another program writes over an engine's entry in the list. A vanished engine is a last resort,
-// since entries lapse while the platform's store is away; one that was written over is not.
-TEST_CASE("an upstream whose entry was written over gets nothing", "[fleet]") {
+// Guards against sending requests to an engine whose list entry was overwritten by another program.
+// A member that disappears from the list is a last resort, since entries expire during an outage of
+// the platform's store; one whose entry was overwritten is not.
+TEST_CASE("an upstream whose list entry was overwritten gets no requests", "[fleet]") {
     fleet::fleet state;
     fleet::apply_list(state, {upstream("one")}, at(0));
     fleet::apply_list(state, {}, at(10));
@@ -83,12 +84,11 @@
     CHECK(fleet::candidates(state, {"pool"}, at(13), {}, {}).size() == 1);
 }
 
-// Callers' calls that one service had failed were repeated at another one, which had left three
-// seconds before. It had said nothing of its leaving and vanished from the list; the news came
-// late, behind a large configuration, and from then on it was a last resort for as long as the
-// bound allows from the leaving itself. The log of a repeat says for how long the list had lacked
-// it.
-TEST_CASE("an upstream that vanishes beside others has left", "[fleet]") {
+// Guards against retrying failed calls at an upstream that left seconds ago. It had not reported
+// that it drains, and its removal from the list arrived late behind a large configuration, so that
+// its grace period began only then. The log of a retry states for how long the upstream had been
+// unlisted.
+TEST_CASE("an upstream that disappears while others are listed has left", "[fleet]") {
     fleet::fleet state;
     const fleet::fleet_rules rules;
     const auto now = [&](int millis, std::vector<base::upstream_id> except = {}) {
@@ -102,20 +102,21 @@
     state.members.at({"three"}).busy_until = at(100);
     CHECK(now(11).empty());
 
-    SECTION("also where those leave too") {
+    SECTION("also if the others drain too") {
         auto leaving = upstream("two");
         leaving.draining = true;
         fleet::apply_list(state, {leaving}, at(12));
         CHECK(now(13).empty());
     }
-    // While the platform's store is away the entries of a whole pool run out, and are back soon.
-    SECTION("but not where the whole pool vanishes") {
+    // During an outage of the platform's store, the entries of a whole pool expire and return soon
+    // after.
+    SECTION("but not if the whole pool disappears") {
         fleet::apply_list(state, {}, at(12));
         CHECK(now(13) == ids{"one", "three", "two"});
     }
 }
 
-TEST_CASE("new requests go to upstreams that nothing speaks against", "[fleet]") {
+TEST_CASE("new requests go to eligible upstreams", "[fleet]") {
     fleet::fleet state;
     const fleet::fleet_rules rules;
     fleet::apply_list(state, {upstream("one"), upstream("two"), upstream("three")}, at(0));
@@ -125,13 +126,13 @@
     CHECK(now(1) == ids{"one", "three", "two"});
     CHECK(now(1, {{"one"}}) == ids{"three", "two"});
 
-    SECTION("not to one that leaves") {
+    SECTION("not to a draining one") {
         auto leaving = upstream("two");
         leaving.draining = true;
         fleet::apply_list(state, {upstream("one"), leaving, upstream("three")}, at(5));
         CHECK(now(6) == ids{"one", "three"});
     }
-    SECTION("nor to one that is suspected or busy, as long as others are there") {
+    SECTION("nor to a suspected or busy one while others are available") {
         state.members.at({"one"}).health.ejected_until = at(100);
         state.members.at({"two"}).busy_until = at(100);
         CHECK(now(6) == ids{"three"});
@@ -139,10 +140,11 @@
         CHECK(now(8) == ids{"one"});
         CHECK(now(100) == ids{"one", "two"});
     }
-    // Each of three services of a pool fails one call in seven by itself. Three of twenty entries
-    // saw several failures in a row, one of each service, and told the others: all entries refused
-    // every call for a second although each service would have answered most.
-    SECTION("and to suspected ones rather than to none, whoever suspects them") {
+    // Guards against an outage caused by suspicions. Each of three services of a pool fails one
+    // call in seven. Three of twenty entries saw several consecutive failures, each of another
+    // service, and reported them, so that all entries rejected every call for a second although
+    // each service would have answered most.
+    SECTION("and to suspected ones rather than to none, whichever entry suspects them") {
         state.members.at({"one"}).health.ejected_until = at(100);
         state.members.at({"two"}).suspected_until = at(100);
         CHECK(now(6) == ids{"three"});
@@ -152,9 +154,10 @@
         state.members.at({"three"}).busy_until = at(200);
         CHECK(now(91) == ids{"one", "two"});
     }
-    // While the store is away, live upstreams lapse from its list all at once. Callers would be
-    // refused although every upstream serves; so the newly vanished ones are the last resort.
-    SECTION("and to one that has just vanished from the list only if none is left") {
+    // During an outage of the store, live upstreams expire from its list all at once. Clients would
+    // be rejected although every upstream serves, so upstreams that have just disappeared are the
+    // last resort.
+    SECTION("and to an upstream that has just disappeared from the list only if no other is left") {
         fleet::apply_list(state, {upstream("one")}, at(10));
         CHECK(now(11) == ids{"one"});
         fleet::apply_list(state, {}, at(20));
@@ -165,7 +168,7 @@
     }
 }
 
-TEST_CASE("plain calls go where the least waits", "[fleet]") {
+TEST_CASE("calls without a prompt go to the least loaded upstream", "[fleet]") {
     fleet::fleet state;
     const fleet::fleet_rules rules;
     fleet::apply_list(state, {upstream("far", "b"), upstream("near", "a")}, at(0));
@@ -180,9 +183,9 @@
     CHECK(pick() == "near");
 }
 
-// One upstream answers its health check and fails every second call: it never fails several times
-// in a row, and callers go on losing requests to it unless the share of its failures counts.
-TEST_CASE("an upstream that fails part of its calls is ejected, and again on probation",
+// An upstream passes its health check and fails every second call. It never fails several times in
+// a row, so clients keep losing requests to it unless its failure rate counts.
+TEST_CASE("an upstream that fails part of its calls is ejected, and again while on probation",
           "[fleet]") {
     const membership::health_rules rules{.failures_to_eject = 3, .ejection_failure_rate = 0.3};
     membership::health state;
@@ -201,8 +204,8 @@
     CHECK(state.ejected_until > at(0) + 2 * first);
 }
 
-// The failure: an upstream asks by mistake to be left alone for years, and is lost to its pool.
-TEST_CASE("a pause that an upstream asks for is kept, within reason", "[fleet]") {
+// Guards against losing an upstream that mistakenly asks for a pause of years.
+TEST_CASE("a pause requested by an upstream is observed up to a maximum", "[fleet]") {
     fleet::member one;
     const base::instant now{base::seconds(100)};
     fleet::record_pause(one, base::seconds(4), now);
@@ -213,9 +216,8 @@
     CHECK(fleet::unavailable_until(one) <= now + base::minutes(10));
 }
 
-// The failure: upstreams come and go by their own word for months, until the entry's memory is
-// full.
-TEST_CASE("departed lives take bounded room", "[fleet]") {
+// Guards against unbounded memory while upstreams drain and leave for months.
+TEST_CASE("the number of departed instances is bounded", "[fleet]") {
     fleet::fleet state;
     const fleet::fleet_rules rules;
     base::instant now{base::seconds(100)};
--- a/src/fleet/workload_tests.cpp
+++ b/src/fleet/workload_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace camphorrail;
 
-TEST_CASE("an upstream's workload adds up and comes back to nothing", "[fleet]") {
+TEST_CASE("an upstream's workload adds up and returns to zero", "[fleet]") {
     fleet::workload load;
     const fleet::request_work first{9000, 2900, true};
     const fleet::request_work second{800, 800, false};
@@ -15,14 +15,14 @@
     CHECK(load.kv_tokens == 9800);
     CHECK(load.non_retryable == 1);
 
-    SECTION("with prompts that are read but still held") {
+    SECTION("with prompts that have been read but are still in memory") {
         fleet::record_first_byte(load, first);
         CHECK(load.pending_prefill_tokens == 800);
         CHECK(load.kv_tokens == 9800);
         fleet::remove_request(load, first, true);
         fleet::add_request(load, first);
     }
-    SECTION("over all entries") {
+    SECTION("summed over all entries") {
         fleet::workload all = load;
         all += load;
         CHECK(all.in_flight == 4);
