--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -56,7 +56,7 @@
                                  const ports::platform_codec& codec) {
     upstream_list list;
     std::vector<list_entry> entries;
-    for (const auto& item : mirror::items_below(store, codec.upstreams_prefix)) {
+    for (const auto& item : mirror::items_with_prefix(store, codec.upstreams_prefix)) {
         auto read = codec.parse_upstream(item.key, item.value);
         if (read.has_value()) {
             entries.push_back({std::move(read.value()), item.mod_revision});
