--- a/src/proxy/proxy_status.cpp
+++ b/src/proxy/proxy_status.cpp
@@ -7,19 +7,19 @@
 
 nlohmann::json proxy::status() const {
     nlohmann::json upstreams = nlohmann::json::array();
-    for (const auto& [id, one] : this->state.fleet.members) {
+    for (const auto& [id, member] : this->state.fleet.members) {
         upstreams.push_back({{"id", id.value},
-                             {"pool", one.listed.pool.value},
-                             {"address", one.listed.address},
-                             {"fit", fleet::is_eligible(one, this->context.now())},
-                             {"in_flight", one.local_work.in_flight}});
+                             {"pool", member.listed.pool.value},
+                             {"address", member.listed.address},
+                             {"fit", fleet::is_eligible(member, this->context.now())},
+                             {"in_flight", member.local_work.in_flight}});
     }
     nlohmann::json held = nlohmann::json::array();
-    for (const auto& one :
+    for (const auto& quarantined :
          quarantine::quarantined_requests(this->state.quarantine, this->context.now())) {
-        held.push_back({{"digest", one.request.digest.value},
-                        {"left_ms", one.span.count() / 1000},
-                        {"crashes", one.crashes}});
+        held.push_back({{"digest", quarantined.request.digest.value},
+                        {"left_ms", quarantined.span.count() / 1000},
+                        {"crashes", quarantined.crashes}});
     }
     const auto age = mirror::age(this->state.store, this->context.now());
     return {{"id", this->settings.id.value},
@@ -35,27 +35,27 @@
     double holding_newest = 0;
     double holding_older = 0;
     for (const auto& [model, history] : this->state.weights) {
-        for (const auto& [id, one] : this->state.fleet.members) {
-            const std::int64_t held = fleet::weights_version_of(one, model);
-            holding_newest += held > 0 && held >= newest(history) ? 1 : 0;
-            holding_older += held > 0 && held < newest(history) ? 1 : 0;
+        for (const auto& [id, member] : this->state.fleet.members) {
+            const std::int64_t held = fleet::weights_version_of(member, model);
+            holding_newest += held > 0 && held >= newest_version(history) ? 1 : 0;
+            holding_older += held > 0 && held < newest_version(history) ? 1 : 0;
         }
     }
     this->metrics.set("camphorrail_upstream_weights", holding_newest, {{"version", "newest"}});
     this->metrics.set("camphorrail_upstream_weights", holding_older, {{"version", "older"}});
 }
 
-void proxy::show_quotas() {
+void proxy::refresh_quota_metrics() {
     const auto show = [this](const char* name, const base::team_id& team, double value) {
         this->metrics.set(name, value, {{"team", team.value}});
     };
-    for (const auto& one : quota::quota_statuses(this->state.quotas, this->context.now(),
-                                                 quota_rules_of(this->settings))) {
-        show("camphorrail_quota_limit_per_second", one.team, one.limit.rate_per_s);
-        show("camphorrail_quota_left", one.team, one.balance);
-        show("camphorrail_quota_asked_per_second", one.team, one.demand);
-        show("camphorrail_quota_share", one.team, one.share);
-        show("camphorrail_quota_used", one.team, static_cast<double>(one.used));
+    for (const auto& status : quota::quota_statuses(this->state.quotas, this->context.now(),
+                                                    quota_rules_of(this->settings))) {
+        show("camphorrail_quota_limit_per_second", status.team, status.limit.rate_per_s);
+        show("camphorrail_quota_left", status.team, status.balance);
+        show("camphorrail_quota_asked_per_second", status.team, status.demand);
+        show("camphorrail_quota_share", status.team, status.share);
+        show("camphorrail_quota_used", status.team, static_cast<double>(status.used));
     }
 }
 
@@ -71,13 +71,13 @@
     this->metrics.set("camphorrail_log_lines_left_out", static_cast<double>(this->log.left_out()));
     this->metrics.set("camphorrail_connections_opened",
                       static_cast<double>(this->connections.opened()));
-    const auto accepting = this->view_accepting();
+    const auto accepting = this->current_accept_status();
     this->metrics.set("camphorrail_caller_connections", static_cast<double>(accepting.clients));
     this->metrics.set("camphorrail_most_caller_connections",
                       static_cast<double>(accepting.max_clients));
     this->metrics.set("camphorrail_accepting_pauses", static_cast<double>(accepting.pauses));
     this->metrics.set("camphorrail_idle_callers_closed",
-                      static_cast<double>(this->callers->idle_closed()));
+                      static_cast<double>(this->frontend->idle_closed()));
     this->metrics.set("camphorrail_idle_upstream_connections",
                       static_cast<double>(this->connections.idle_count()));
     for (const auto& [pool, window] : this->state.retries) {
@@ -90,10 +90,10 @@
         static_cast<double>(
             quarantine::quarantined_requests(this->state.quarantine, this->context.now()).size()));
     this->refresh_weights_metric();
-    this->show_quotas();
+    this->refresh_quota_metrics();
     std::int64_t fit = 0;
-    for (const auto& [id, one] : this->state.fleet.members) {
-        fit += fleet::is_eligible(one, this->context.now()) ? 1 : 0;
+    for (const auto& [id, member] : this->state.fleet.members) {
+        fit += fleet::is_eligible(member, this->context.now()) ? 1 : 0;
     }
     this->metrics.set("camphorrail_upstreams", static_cast<double>(fit), {{"state", "fit"}});
     this->metrics.set("camphorrail_upstreams",
