--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -75,10 +75,11 @@
         const auto step = [&](int) {
             now += base::micros(1000);
             const auto chain = make_chain(random, 400);
-            const auto made = routing::choose(pool, table, {&chain, {}}, now, random, rules);
-            routing::note_sent(pool, table, *made, chain, now);
-            routing::note_served(pool, table, pool.upstreams[made->index].id, chain, made->basis,
-                                 {5500}, now, rules);
+            const auto made =
+                routing::choose_upstream(pool, table, {&chain, {}}, now, random, rules);
+            routing::record_sent(pool, table, *made, chain, now);
+            routing::record_served(pool, table, pool.upstreams[made->index].id, chain, made->basis,
+                                   {5500}, now, rules);
         };
         microseconds_each(2000, step);
         print("routing decision, sending and learning", std::to_string(size) + " upstreams",
@@ -88,7 +89,7 @@
                                 [&](int round) {
                                     const auto& id =
                                         pool.upstreams[static_cast<std::size_t>(round % size)].id;
-                                    routing::note_load(pool, id, base::micros(10), 100, 1, now);
+                                    routing::record_load(pool, id, base::micros(10), 100, 1, now);
                                 }),
               "us");
     }
@@ -98,7 +99,7 @@
     const double before = resident_megabytes();
     routing::affinity_table table;
     for (std::size_t key = 0; key < table.capacity; ++key) {
-        routing::remember(table, base::combine_hashes(key, 3), {1, 1, {}});
+        routing::add_holder(table, base::combine_hashes(key, 3), {1, 1, {}});
     }
     const double after = resident_megabytes();
     print("affinity table, full", std::to_string(table.capacity) + " prefixes", after - before,
@@ -117,9 +118,10 @@
         const auto step = [&](int) {
             now += base::micros(1000);
             const auto chain = make_chain(random, static_cast<std::uint64_t>(blocks) / 40 + 1);
-            const auto estimate = routing::expected_work(view, chain, now);
-            routing::note_taken(view, chain, now);
-            routing::note_served(view, chain, estimate.basis, {5500}, base::milliseconds(10), now);
+            const auto estimate = routing::estimate_work(view, chain, now);
+            routing::record_accepted(view, chain, now);
+            routing::record_served(view, chain, estimate.basis, {5500}, base::milliseconds(10),
+                                   now);
         };
         microseconds_each(blocks, step);
         print("agent's knowledge of its cache, an order", std::to_string(blocks) + " prefixes",
--- a/src/agent/order_runner.cpp
+++ b/src/agent/order_runner.cpp
@@ -31,7 +31,7 @@
     answer_sender sender;
     prefix::prefix_chain chain;
     base::micros work{0};
-    routing::evidence basis;
+    routing::prediction_basis basis;
     base::instant started_at;
     base::instant first_token_at;
     bool has_first_token = false;
@@ -68,7 +68,7 @@
     active->sender.send = std::move(send);
     active->sender.credit = this->settings->limits.caller_buffer_bytes;
     active->chain = chain;
-    const auto estimate = routing::expected_work(this->cache, active->chain, now);
+    const auto estimate = routing::estimate_work(this->cache, active->chain, now);
     active->work = estimate.work;
     active->basis = estimate.basis;
     const admission::waiting_order entry{{order.attempt},
@@ -86,7 +86,7 @@
                      base::execution_state::not_run, retry_after(ahead));
         return;
     }
-    routing::note_taken(this->cache, active->chain, now);
+    routing::record_accepted(this->cache, active->chain, now);
     this->timeline->mark("order_taken", order.attempt, {{"team", order.team}});
     admission::push(this->queue, entry);
     this->waiting[order.attempt] = std::move(active);
@@ -97,8 +97,8 @@
                            const send_function& send) {
     const auto wait = admission::predicted_wait(this->queue, order.priority, this->engine_wait());
     const auto answer =
-        routing::answer_probe(this->cache, this->notes, chain, wait, this->clock.now(), {});
-    if (!answer.pass_on) {
+        routing::evaluate_probe(this->cache, this->notes, chain, wait, this->clock.now(), {});
+    if (!answer.forward) {
         return false;
     }
     this->timeline->mark("order_passed_on", order.attempt);
@@ -109,7 +109,7 @@
 }
 
 void order_runner::note_placed(std::uint64_t level_key, std::uint64_t holder) {
-    routing::remember(this->notes, level_key, {holder, 0, this->clock.now()});
+    routing::add_holder(this->notes, level_key, {holder, 0, this->clock.now()});
 }
 
 void order_runner::refuse(const wire::order& order, const send_function& send, base::code number,
@@ -225,8 +225,9 @@
         return;
     }
     const base::instant now = this->clock.now();
-    routing::note_served(this->cache, active->chain, active->basis, {active->counted.cached_tokens},
-                         active->first_token_at - active->started_at, now);
+    routing::record_served(this->cache, active->chain, active->basis,
+                           {active->counted.cached_tokens},
+                           active->first_token_at - active->started_at, now);
     this->running.erase(active->order.attempt);
     this->timeline->mark("order_done", active->order.attempt,
                          {{"cached_tokens", active->counted.cached_tokens}});
@@ -287,7 +288,7 @@
 }
 
 void order_runner::note_engine(std::int64_t engine_incarnation) {
-    routing::note_engine(this->cache, engine_incarnation, this->clock.now());
+    routing::record_incarnation(this->cache, engine_incarnation, this->clock.now());
 }
 
 base::micros order_runner::engine_wait() const {
--- a/src/entry/request_answers.cpp
+++ b/src/entry/request_answers.cpp
@@ -83,9 +83,9 @@
     }
     auto& pool = this->around->router->pools[this->request.pool];
     if (!this->once()) {
-        routing::note_served(pool, this->around->router->affinity, this->upstream,
-                             this->request.chain, this->made.basis, {message.cached_tokens},
-                             this->now(), this->around->router->rules);
+        routing::record_served(pool, this->around->router->affinity, this->upstream,
+                               this->request.chain, this->made.basis, {message.cached_tokens},
+                               this->now(), this->around->router->rules);
         if (auto* view = routing::find(pool, this->upstream)) {
             membership::note_success(view->health);
         }
--- a/src/entry/request_flow.cpp
+++ b/src/entry/request_flow.cpp
@@ -82,9 +82,10 @@
 void request_flow::attempt_routed() {
     auto& pool = this->around->router->pools[this->request.pool];
     const auto choose = [this, &pool] {
-        return routing::choose(pool, this->around->router->affinity,
-                               {&this->request.chain, this->tried, !this->passed_on}, this->now(),
-                               this->around->router->random, this->around->router->rules);
+        return routing::choose_upstream(pool, this->around->router->affinity,
+                                        {&this->request.chain, this->tried, !this->passed_on},
+                                        this->now(), this->around->router->random,
+                                        this->around->router->rules);
     };
     auto next = choose();
     if (!next && this->last_failure == base::code::link_silent) {
@@ -100,9 +101,9 @@
     this->made = *next;
     const base::upstream_id to = pool.upstreams[next->index].id;
     this->tell_home(pool, to);
-    routing::note_sent(pool, this->around->router->affinity, this->made, this->request.chain,
-                       this->now());
-    if (!this->made.probe) {
+    routing::record_sent(pool, this->around->router->affinity, this->made, this->request.chain,
+                         this->now());
+    if (!this->made.is_probe) {
         this->tried.push_back(to);
     }
     this->send_order(to);
@@ -111,8 +112,8 @@
 // The home of the prompt's shared prefix passes later requests on to where this one goes.
 void request_flow::tell_home(const routing::pool_view& pool, const base::upstream_id& chosen) {
     auto& router = *this->around->router;
-    const auto home = routing::home_to_tell(pool, router.affinity, chosen, this->request.chain,
-                                            this->now(), router.rules);
+    const auto home = routing::home_to_notify(pool, router.affinity, chosen, this->request.chain,
+                                              this->now(), router.rules);
     if (home) {
         this->around->links->send(pool.upstreams[*home].id,
                                   wire::placed{routing::shared_level(this->request.chain)->key,
@@ -124,10 +125,11 @@
     auto& router = *this->around->router;
     const auto& pool = router.pools[this->request.pool];
     this->passed_on = true;
-    routing::note_not_taken(pool, router.affinity, this->upstream, this->request.chain);
+    routing::record_rejected(pool, router.affinity, this->upstream, this->request.chain);
     for (const std::uint64_t holder : message.holders) {
-        routing::note_holder(pool, router.affinity, routing::shared_level(this->request.chain)->key,
-                             holder, this->now());
+        routing::record_reported_holder(pool, router.affinity,
+                                        routing::shared_level(this->request.chain)->key, holder,
+                                        this->now());
     }
     this->end_attempt();
     --this->attempts; // asking the home costs a hop and is no attempt at running
@@ -163,7 +165,7 @@
     order.body = this->request.body;
     order.resume_from = this->assembler.delivered;
     order.stream = this->request.stream;
-    order.probe = this->made.probe && !this->once();
+    order.probe = this->made.is_probe && !this->once();
     order.hide_usage = this->request.hide_usage;
     for (const auto& level : this->request.chain) {
         order.level_keys.push_back(level.key);
@@ -211,12 +213,12 @@
         return;
     }
     this->last_failure = number;
-    if (this->made.probe && !this->passed_on) {
+    if (this->made.is_probe && !this->passed_on) {
         this->passed_on = true;
         this->tried.push_back(this->upstream);
     }
-    routing::note_not_taken(this->around->router->pools[this->request.pool],
-                            this->around->router->affinity, this->upstream, this->request.chain);
+    routing::record_rejected(this->around->router->pools[this->request.pool],
+                             this->around->router->affinity, this->upstream, this->request.chain);
     const bool fault = is_fault(number);
     if (fault) {
         note_failure(*this->around->router, this->upstream, this->now());
--- a/src/entry/router_state.cpp
+++ b/src/entry/router_state.cpp
@@ -36,8 +36,8 @@
     }
     for_each_view(state, from, [&](routing::pool_view& pool, routing::upstream_view& view) {
         view.health.leaving = load.leaving;
-        routing::note_load(pool, from, base::micros(load.wait_us), load.prefill_us_per_token,
-                           load.engine_incarnation, now);
+        routing::record_load(pool, from, base::micros(load.wait_us), load.prefill_us_per_token,
+                             load.engine_incarnation, now);
     });
 }
 
--- a/src/kvcache/lanes.cpp
+++ b/src/kvcache/lanes.cpp
@@ -37,39 +37,41 @@
 }
 
 // How many engines' worth of slots the short prompts under way at a pool's engines ask for.
-double wanted_engines(const std::vector<fleet::member*>& members, base::instant now,
-                      const lane_rules& rules) {
+double required_engines(const std::vector<fleet::member*>& members, base::instant now,
+                        const lane_rules& rules) {
     double wanted = 0.0;
     for (const auto* one : members) {
         const auto slots = static_cast<double>(std::max<std::int64_t>(one->listed.slots, 1));
         const auto taken = static_cast<double>(fleet::total_work(*one, now).short_prompts);
-        wanted += taken / (rules.taken_slots * slots);
+        wanted += taken / (rules.target_slot_utilization * slots);
     }
     return wanted;
 }
 
-void note_wanted(lane_size& size, double wanted, double first, base::instant now,
-                 const lane_rules& rules) {
-    const auto passed = static_cast<double>(std::max(now - size.at, base::micros(0)).count());
-    size.at = now;
+void update_demand(lane_size& size, double wanted, double first, base::instant now,
+                   const lane_rules& rules) {
+    const auto passed =
+        static_cast<double>(std::max(now - size.updated_at, base::micros(0)).count());
+    size.updated_at = now;
     // A pool without traffic says nothing of the traffic to come.
-    size.seen = size.seen || wanted > 0.0;
-    if (!size.seen) {
-        size.wanted = first;
+    size.has_seen_traffic = size.has_seen_traffic || wanted > 0.0;
+    if (!size.has_seen_traffic) {
+        size.demand = first;
     } else if (wanted > 0.0) {
-        const auto averaged = wanted > size.wanted ? rules.averaged_up : rules.averaged_down;
+        const auto averaged =
+            wanted > size.demand ? rules.smoothing_time_up : rules.smoothing_time_down;
         const double newest = 1.0 - std::exp(-passed / static_cast<double>(averaged.count()));
-        size.wanted += newest * (wanted - size.wanted);
+        size.demand += newest * (wanted - size.demand);
     }
 }
 
-std::size_t kept_engines(const lane_size& size, std::size_t members, const lane_rules& rules) {
+std::size_t reserved_engines(const lane_size& size, std::size_t members, const lane_rules& rules) {
     const auto all = static_cast<double>(members);
-    const double most = std::max(1.0, std::floor(rules.most_share * all));
-    const auto kept = static_cast<double>(size.kept);
+    const double most = std::max(1.0, std::floor(rules.max_share * all));
+    const auto kept = static_cast<double>(size.reserved);
     const double least_change = std::max(rules.hysteresis, rules.hysteresis_share * all);
-    const bool holds = size.kept > 0 && std::abs(size.wanted - kept) < least_change;
-    return static_cast<std::size_t>(std::clamp(holds ? kept : std::round(size.wanted), 1.0, most));
+    const bool holds = size.reserved > 0 && std::abs(size.demand - kept) < least_change;
+    return static_cast<std::size_t>(std::clamp(holds ? kept : std::round(size.demand), 1.0, most));
 }
 
 } // namespace
@@ -84,26 +86,26 @@
         }
     }
     for (auto& [id, members] : pools) {
-        if (members.size() < rules.smallest_pool) {
+        if (members.size() < rules.min_pool_size) {
             continue;
         }
         auto& size = sizes[id];
-        const double first = rules.first_share * static_cast<double>(members.size());
-        note_wanted(size, wanted_engines(members, now, rules), first, now, rules);
-        size.kept = kept_engines(size, members.size(), rules);
+        const double first = rules.initial_share * static_cast<double>(members.size());
+        update_demand(size, required_engines(members, now, rules), first, now, rules);
+        size.reserved = reserved_engines(size, members.size(), rules);
         const auto order = lane_order(members);
-        for (std::size_t at = 0; at < size.kept; ++at) {
+        for (std::size_t at = 0; at < size.reserved; ++at) {
             order[at]->short_lane = true;
         }
     }
 }
 
-bool is_long(const prompt_chain& chain) {
-    return chain.all_tokens() >= lane_rules{}.long_prompt;
+bool is_long_prompt(const prompt_chain& chain) {
+    return chain.total_tokens() >= lane_rules{}.long_prompt_tokens;
 }
 
 bool in_lane(const fleet::member& one, const prompt_chain& chain) {
-    return one.short_lane != is_long(chain);
+    return one.short_lane != is_long_prompt(chain);
 }
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/lanes_tests.cpp
+++ b/src/kvcache/lanes_tests.cpp
@@ -13,12 +13,12 @@
 }
 
 // A pool whose engines have answers to short prompts under way, spread evenly.
-struct pool_with_answers {
+struct loaded_pool {
     fleet::fleet state;
     kvcache::lane_sizes sizes;
     int time_ms = 0;
 
-    explicit pool_with_answers(int engines) {
+    explicit loaded_pool(int engines) {
         std::vector<ports::listed_upstream> listed;
         listed.reserve(static_cast<std::size_t>(engines));
         for (int each = 0; each < engines; ++each) {
@@ -42,7 +42,7 @@
              this->time_ms += tick_ms) {
             kvcache::assign_lanes(this->state, this->sizes, at(this->time_ms), {});
         }
-        return this->sizes.at({"pool"}).kept;
+        return this->sizes.at({"pool"}).reserved;
     }
 };
 
@@ -52,23 +52,23 @@
 // second, on the other three seconds. With the same share for both, one keeps engines idle while
 // its long prompts wait, or the other's short prompts wait for slots.
 TEST_CASE("the lane for short prompts has as many engines as their answers need", "[kvcache]") {
-    pool_with_answers quick(9);
+    loaded_pool quick(9);
     CHECK(quick.run(54, 20) == 2);
-    pool_with_answers slow(18);
+    loaded_pool slow(18);
     CHECK(slow.run(198, 20) == 5);
 
     SECTION("more within seconds when the traffic turns to them, at most three in ten") {
         CHECK(quick.run(900, 6) == 2);
-        pool_with_answers large(40);
+        loaded_pool large(40);
         CHECK(large.run(120, 30) < 8);
         CHECK(large.run(2000, 6) == 12);
     }
     SECTION("and the same as before where the traffic stops, as between two bursts") {
-        const auto before = slow.sizes.at({"pool"}).kept;
+        const auto before = slow.sizes.at({"pool"}).reserved;
         CHECK(slow.run(0, 60) == before);
     }
     SECTION("with few engines changing sides when the work goes up and down a little") {
-        pool_with_answers large(40);
+        loaded_pool large(40);
         const auto kept = large.run(200, 30);
         for (int round = 0; round < 10; ++round) {
             CHECK(large.run(round % 2 == 0 ? 240 : 160, 2) == kept);
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("before any traffic a part of the pool is kept", "[kvcache]") {
-    CHECK(pool_with_answers(18).run(0, 5) == 5);
-    pool_with_answers small(4);
+    CHECK(loaded_pool(18).run(0, 5) == 5);
+    loaded_pool small(4);
     CHECK(small.run(0, 1) == 1);
 }
--- a/src/kvcache/overload.h
+++ b/src/kvcache/overload.h
@@ -21,12 +21,12 @@
 // Measured on twenty heavy days each of three pools, against refusing by the wait alone from two
 // fifths of the target on: 0.006, 0.011 and 0.024 of the worth, and half as many refused. From a
 // wait of seven tenths or more on, engines fell behind and most answers were late.
-bool is_overloaded(double first_byte_ms, double waiting_ms, base::milliseconds target);
+bool should_reject(double first_byte_ms, double waiting_ms, base::milliseconds target);
 
 // When a refused caller is to come back. Spread by a number that differs from request to request,
 // so that those who are refused together do not return together. Half a second or over a second
 // made no difference to how many were served; callers with four seconds wait for a third of these
 // at most.
-base::milliseconds come_back_after(std::uint64_t number);
+base::milliseconds retry_delay(std::uint64_t number);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/overload_tests.cpp
+++ b/src/kvcache/overload_tests.cpp
@@ -16,11 +16,11 @@
 // A long prompt of 9,200 tokens at 100 tokens a millisecond, and a fifth for the answers between.
 constexpr int reading_ms = 110;
 // Half a second of generating, during which its prompt stays in the engine's memory.
-constexpr int answering_ms = 500;
+constexpr int generation_ms = 500;
 // An engine's memory of 72,000 tokens holds seven such prompts.
-constexpr std::size_t most_held = 7;
+constexpr std::size_t max_resident_prompts = 7;
 // Callers leave after two seconds without a first event.
-constexpr int patience_ms = 2000;
+constexpr int client_timeout_ms = 2000;
 // Part of an engine's waits by which it is expected to be late; see placement.
 constexpr double expected_share = 1.0;
 constexpr int span_ms = 20000;
@@ -28,7 +28,7 @@
 struct prompt {
     int asked_ms = 0;
     int arrived_ms = 0;
-    bool came_back = false;
+    bool is_retry = false;
     std::uint64_t number = 0;
 };
 
@@ -36,7 +36,7 @@
     int on_time = 0;
     int late = 0;
     int never = 0;
-    int read_in_vain = 0;
+    int wasted_prefills = 0;
 
     [[nodiscard]] double worth() const {
         const int all = this->on_time + this->late + this->never;
@@ -64,18 +64,18 @@
 void read_next(engine& one, int now, outcome& result) {
     const auto next = one.queue.front();
     one.queue.pop_front();
-    if (now - next.arrived_ms > patience_ms) {
+    if (now - next.arrived_ms > client_timeout_ms) {
         // The call is cancelled only when the engine is about to read it.
         ++result.never;
         return;
     }
     one.busy_until = now + reading_ms;
-    if (one.held_until.size() >= most_held) {
-        ++result.read_in_vain;
+    if (one.held_until.size() >= max_resident_prompts) {
+        ++result.wasted_prefills;
         one.queue.push_front(next);
         return;
     }
-    one.held_until.push_back(one.busy_until + answering_ms);
+    one.held_until.push_back(one.busy_until + generation_ms);
     const int first_event_ms = one.busy_until - next.asked_ms;
     (first_event_ms <= target.count() ? result.on_time : result.late) += 1;
 }
@@ -94,16 +94,16 @@
             engines.begin(), engines.end(), [now](const engine& left, const engine& right) {
                 return left.expected_wait_ms(now) < right.expected_wait_ms(now);
             });
-        if (!refuses || !kvcache::is_overloaded(best.expected_wait_ms(now) + reading_ms,
+        if (!refuses || !kvcache::should_reject(best.expected_wait_ms(now) + reading_ms,
                                                 best.expected_wait_ms(now), target)) {
             each.arrived_ms = now;
             best.queue.push_back(each);
-        } else if (each.came_back) {
+        } else if (each.is_retry) {
             ++result.never;
         } else {
-            each.came_back = true;
+            each.is_retry = true;
             each.arrived_ms =
-                now + static_cast<int>(kvcache::come_back_after(each.number * 7919).count());
+                now + static_cast<int>(kvcache::retry_delay(each.number * 7919).count());
             returning.push_back(each);
         }
     };
@@ -162,7 +162,7 @@
 TEST_CASE("refused callers come back one after the other", "[kvcache]") {
     std::set<base::milliseconds> times;
     for (std::uint64_t number = 0; number < 1000; ++number) {
-        times.insert(kvcache::come_back_after(number * 7919));
+        times.insert(kvcache::retry_delay(number * 7919));
     }
     CHECK(times.size() > 400);
     // A third of what callers with four seconds have left.
--- a/src/kvcache/placement.h
+++ b/src/kvcache/placement.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "fleet/fleet.h"
-#include "kvcache/cache_beliefs.h"
-#include "kvcache/homes.h"
-#include "kvcache/kept_copies.h"
+#include "kvcache/cache_index.h"
+#include "kvcache/home_engines.h"
+#include "kvcache/store_index.h"
 #include "latency/first_byte.h"
 #include "routes/operators_config.h"
 
@@ -16,32 +16,32 @@
 // milliseconds.
 struct placement_costs {
     // A request that is generating slows the others on its engine by about this much.
-    double running_ms = 0.5;
+    double running_request_ms = 0.5;
     // An engine whose slots are nearly all taken makes requests wait for one to end: an answer
     // takes about 2.5 s, so with all slots taken each further request waits that long by the slots.
-    double nearly_full = 0.85;
-    double answer_ms = 2500.0;
+    double slot_pressure_threshold = 0.85;
+    double response_ms = 2500.0;
     // An engine's memory holds the prompts of all its requests. Beyond this part of it, new ones
     // wait for others to end, or take running ones' place, whose prompts are then read again; the
     // whole memory turns over in about a second.
-    double nearly_full_memory = 0.8;
+    double memory_pressure_threshold = 0.8;
     double memory_turnover_ms = 1500.0;
     // A short prompt on an engine that reads long ones.
-    double short_among_long_ms = 40.0;
+    double short_in_long_lane_ms = 40.0;
     // A long prompt on an engine that is kept for short ones. When all are busy, the short lane
     // must not fill up with long prompts too: each would delay some thirty answers that are under
     // way.
-    double long_among_short_ms = 10000.0;
+    double long_in_short_lane_ms = 10000.0;
     // Away from its home a prompt's shared tokens are fetched, perhaps between zones and after
     // others', or read again where the source has dropped them. With a third of these, requests
     // left their homes at the first sign of a wait and kept each other from finding anything
     // cached.
-    double fetches_away = 3.0;
-    double read_away_share = 0.8;
+    double off_home_fetch_factor = 3.0;
+    double off_home_prefill_share = 0.8;
     // An answer on outdated weights is worth a fifth less, and one that comes after the target less
     // than half. In targets.
-    double outdated_long = 0.15;
-    double outdated_short = 0.2;
+    double outdated_long_penalty = 0.15;
+    double outdated_short_penalty = 0.2;
 };
 
 // An engine that may take the prompt, with what its weights mean for it.
@@ -54,7 +54,7 @@
 
 // One prompt, and the pool it is for.
 struct prompt_request {
-    const prompt_space& space;
+    const prompt_scope& space;
     const prompt_chain& chain;
     const routes::pool& pool;
     // All members of the pool, fit or not.
@@ -64,9 +64,9 @@
 };
 
 // What an entry goes by.
-struct placement_view {
-    const cache_beliefs& beliefs;
-    const kept_copies& copies;
+struct placement_context {
+    const cache_index& cache;
+    const store_index& stored_prompts;
     const std::vector<routes::kv_store>& stores;
     base::instant now;
     const fleet::fleet_rules& rules;
@@ -84,9 +84,9 @@
     // Address of the store that is to keep it from now on; empty where it is there already.
     std::string save_to;
     // Tokens that the target will probably read.
-    std::int64_t to_read = 0;
+    std::int64_t prefill_tokens = 0;
     // Tokens that wait there already, over all entries.
-    std::int64_t unread_there = 0;
+    std::int64_t queued_prefill_tokens = 0;
     // How long it will probably wait there before it is read, for its fetch, and until its first
     // event in all, in milliseconds.
     double wait_ms = 0.0;
@@ -105,6 +105,6 @@
 // entries hear of each other's load a tenth of a second late, and would all send to the one engine
 // that looked idle.
 placement place(const std::vector<candidate>& candidates, const prompt_request& request,
-                const placement_view& view);
+                const placement_context& view);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/placement_tests.cpp
+++ b/src/kvcache/placement_tests.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr base::instant now{base::seconds(100)};
-const kvcache::prompt_space space{{"m"}, {}};
+const kvcache::prompt_scope space{{"m"}, {}};
 const std::vector<routes::kv_store> stores{{"10.9.9.1:1", {"a"}, 1'200'000, 350'000},
                                            {"10.9.9.2:1", {"b"}, 1'200'000, 350'000},
                                            {"10.9.9.3:1", {"c"}, 1'200'000, 350'000}};
@@ -20,10 +20,10 @@
 struct world {
     fleet::fleet state;
     kvcache::lane_sizes lanes;
-    kvcache::cache_beliefs beliefs;
-    kvcache::kept_copies copies;
+    kvcache::cache_index beliefs;
+    kvcache::store_index copies;
     // Engines that read a token in about 10 microseconds.
-    latency::first_byte_model model{.figures = {8.0, 0.01, 0.0}};
+    latency::first_byte_model model{.coefficients = {8.0, 0.01, 0.0}};
     routes::pool pool{{"pool"}, 71'780, 192'512, 350'000};
 
     explicit world(int engines) {
@@ -37,22 +37,22 @@
                               .slots = 32});
         }
         fleet::apply_list(this->state, listed, now);
-        kvcache::assign_lanes(this->state, this->lanes, now, {.first_share = 0.3});
+        kvcache::assign_lanes(this->state, this->lanes, now, {.initial_share = 0.3});
         for (const auto& store : stores) {
-            kvcache::take_listing(this->copies[store.address], {}, now);
+            kvcache::apply_listing(this->copies[store.address], {}, now);
         }
     }
 
     void note(const std::vector<kvcache::prompt_level>& levels, const base::upstream_instance& by,
               base::instant at, bool saved) {
-        kvcache::prompt_read read;
+        kvcache::prompt_prefill read;
         for (const auto& level : levels) {
             read.levels.push_back({level.key, level.part_tokens});
         }
         read.weights = 1;
-        read.by = by;
+        read.engine = by;
         read.saved = saved;
-        kvcache::note_read(this->beliefs, read, this->pool.engine_tokens, at);
+        kvcache::record_prefill(this->beliefs, read, this->pool.engine_tokens, at);
     }
 
     // Enough traffic, evenly over all agencies, for shares to be known.
@@ -89,7 +89,7 @@
     void keep(const kvcache::prompt_chain& chain) {
         for (const auto& store : stores) {
             for (const auto& level : chain.levels) {
-                kvcache::take_changes(
+                kvcache::apply_changes(
                     this->copies[store.address],
                     {{kvcache::part_key(kvcache::make_salt(space, 1), level), level.part_tokens}},
                     now);
@@ -136,10 +136,10 @@
     }
     SECTION("with less to read there once it has read them") {
         const auto first = entry.place(chain);
-        CHECK(first.to_read == 2890 + 6300);
+        CHECK(first.prefill_tokens == 2890 + 6300);
         entry.read(chain, *first.target.engine, now);
         CHECK(entry.place(chain).target.engine == first.target.engine);
-        CHECK(entry.place(chain).to_read == 2890);
+        CHECK(entry.place(chain).prefill_tokens == 2890);
     }
     // The engine has dropped the prompt since, without telling. It would read all of it again,
     // while a store of kept cache still has it.
@@ -160,7 +160,7 @@
         const auto second = entry.place(chain);
         CHECK(second.target.engine != home);
         CHECK(second.fetch_from == home->listed.address);
-        CHECK(second.to_read == 2890);
+        CHECK(second.prefill_tokens == 2890);
     }
     // At the peak every engine has something to do. Were all that come next for a prompt alike, it
     // would be read by a different one each time, and displace there what others come for.
@@ -189,26 +189,26 @@
     SECTION("and it stays there, where it is cached now") {
         const auto home = entry.place(chain).target.engine;
         home->local_work.unread_tokens = 30000;
-        auto* stood_in = entry.place(chain).target.engine;
-        entry.read(chain, *stood_in, now);
+        auto* substitute = entry.place(chain).target.engine;
+        entry.read(chain, *substitute, now);
         home->local_work.unread_tokens = 0;
         const auto next = entry.place(chain);
-        CHECK(next.target.engine == stood_in);
-        CHECK(next.to_read == 2890);
+        CHECK(next.target.engine == substitute);
+        CHECK(next.prefill_tokens == 2890);
 
         // Until that one is behind; the home then has it from there, and reads nothing again.
-        stood_in->local_work.unread_tokens = 30000;
+        substitute->local_work.unread_tokens = 30000;
         const auto back = entry.place(chain);
         CHECK(back.target.engine == home);
-        CHECK(back.fetch_from == stood_in->listed.address);
-        CHECK(back.to_read == 2890);
+        CHECK(back.fetch_from == substitute->listed.address);
+        CHECK(back.prefill_tokens == 2890);
     }
     SECTION("and from the kept copy when the home has crashed") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
         entry.keep(chain);
         home->health.ejected_until = now + base::seconds(1);
-        kvcache::forget_reader(entry.beliefs, home->listed.id);
+        kvcache::forget_engine(entry.beliefs, home->listed.id);
         const auto next = entry.place(chain);
         CHECK(next.target.engine != home);
         CHECK(next.fetch_from == store_in(home->listed.zone));
@@ -244,13 +244,13 @@
     SECTION("so only the rest is read") {
         const auto placed = entry.place(chain);
         CHECK(placed.fetch_from == other->listed.address);
-        CHECK(placed.to_read == 3780 + 2890);
+        CHECK(placed.prefill_tokens == 3780 + 2890);
     }
     SECTION("but from nobody where the engine holds it itself") {
         entry.read(sibling, *home, now);
         const auto placed = entry.place(chain);
         CHECK(placed.fetch_from.empty());
-        CHECK(placed.to_read == 3780 + 2890);
+        CHECK(placed.prefill_tokens == 3780 + 2890);
     }
     SECTION("and from nobody who read it long ago") {
         CHECK(entry.place(chain_of(2)).fetch_from.empty());
@@ -400,14 +400,14 @@
     // The store takes no connections. Engines that were told to use it would wait for it with
     // every prompt, so another one stands in.
     SECTION("in another store while its own is down") {
-        kvcache::note_down(entry.copies[first.save_to], now);
+        kvcache::mark_down(entry.copies[first.save_to], now);
         const auto second = entry.place(chain);
         CHECK_FALSE(second.save_to.empty());
         CHECK(second.save_to != first.save_to);
     }
     SECTION("nowhere when all are down") {
         for (const auto& store : stores) {
-            kvcache::note_down(entry.copies[store.address], now);
+            kvcache::mark_down(entry.copies[store.address], now);
         }
         CHECK(entry.place(chain).save_to.empty());
         CHECK(entry.place(chain).fetch_from.empty());
@@ -434,11 +434,11 @@
         const std::vector<const fleet::member*> members;
         const kvcache::prompt_request request{space, chain, grown.pool, members,
                                               base::milliseconds(400)};
-        const kvcache::placement_view view{
+        const kvcache::placement_context view{
             grown.beliefs, grown.copies, more, now, {}, grown.model, {}};
-        const auto* store = kvcache::store_of(request, view, &home);
+        const auto* store = kvcache::select_store(request, view, &home);
         REQUIRE(store != nullptr);
-        CHECK(store == kvcache::store_of(request, view, &home));
+        CHECK(store == kvcache::select_store(request, view, &home));
         ++named[store->address];
     }
     REQUIRE(named.size() == 2);
--- a/src/kvcache/prompt_chain.cpp
+++ b/src/kvcache/prompt_chain.cpp
@@ -4,7 +4,7 @@
 
 namespace camphorrail::kvcache {
 
-prompt_chain make_chain(const prompt_space& space, const std::vector<ports::prompt_part>& parts) {
+prompt_chain make_chain(const prompt_scope& space, const std::vector<ports::prompt_part>& parts) {
     prompt_chain chain;
     std::uint64_t key = base::combine_hashes(base::stable_hash(space.model.value),
                                              base::stable_hash(space.isolated_team.value));
@@ -15,16 +15,16 @@
         tokens += parts[level].size.value;
         chain.levels.push_back({key, part, parts[level].size.value, tokens});
     }
-    chain.own_tokens = parts.empty() ? 0 : parts.back().size.value;
+    chain.unshared_tokens = parts.empty() ? 0 : parts.back().size.value;
     return chain;
 }
 
-std::string make_salt(const prompt_space& space, std::int64_t weights) {
+std::string make_salt(const prompt_scope& space, std::int64_t weights) {
     std::string salt = space.model.value + "." + std::to_string(weights);
     return space.isolated_team.empty() ? salt : salt + "." + space.isolated_team.value;
 }
 
-std::uint64_t key_at(std::uint64_t level_key, std::int64_t weights) {
+std::uint64_t key_for_weights(std::uint64_t level_key, std::int64_t weights) {
     return base::combine_hashes(level_key, static_cast<std::uint64_t>(weights));
 }
 
@@ -33,7 +33,7 @@
 }
 
 std::uint64_t part_key(const std::string& salt, const prompt_level& level) {
-    return base::combine_hashes(base::stable_hash(salt), level.part);
+    return base::combine_hashes(base::stable_hash(salt), level.part_hash);
 }
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/size_fairness.cpp
+++ b/src/kvcache/size_fairness.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The size from which on a prompt is among the largest part of the record, which is not empty.
-std::int64_t largest_from(const size_record& record, double part) {
+std::int64_t large_prompt_threshold(const size_history& record, double part) {
     std::vector<std::int64_t> sizes;
     sizes.reserve(record.prompts.size());
     for (const auto& each : record.prompts) {
@@ -24,45 +24,47 @@
 }
 
 // Which part of the prompts of at least this size was taken.
-double share_taken(const size_record& record, std::int64_t least_tokens) {
+double accepted_share(const size_history& record, std::int64_t least_tokens) {
     int came = 0;
     int taken = 0;
     for (const auto& each : record.prompts) {
         const bool counts = each.tokens >= least_tokens;
         came += counts ? 1 : 0;
-        taken += counts && each.taken ? 1 : 0;
+        taken += counts && each.accepted ? 1 : 0;
     }
     return came == 0 ? 1.0 : static_cast<double>(taken) / came;
 }
 
-bool is_owed_a_place(const size_record& record, std::int64_t tokens,
-                     const size_fairness_rules& rules) {
-    if (record.prompts.size() < rules.fewest) {
+bool is_underserved(const size_history& record, std::int64_t tokens,
+                    const size_fairness_rules& rules) {
+    if (record.prompts.size() < rules.min_samples) {
         return false;
     }
-    const std::int64_t as_large = std::min(tokens, largest_from(record, rules.largest_part));
-    return share_taken(record, as_large) < rules.least_part * share_taken(record, 0);
+    const std::int64_t as_large =
+        std::min(tokens, large_prompt_threshold(record, rules.large_share));
+    return accepted_share(record, as_large) <
+           rules.min_relative_acceptance * accepted_share(record, 0);
 }
 
-prompt_verdict verdict_on(const size_record& record, const prompt_prospect& prompt,
-                          const size_fairness_rules& rules) {
-    if (!is_overloaded(prompt.first_byte_ms, prompt.wait_ms, prompt.target)) {
-        return prompt_verdict::taken;
+admission_decision evaluate_prompt(const size_history& record, const prompt_estimate& prompt,
+                                   const size_fairness_rules& rules) {
+    if (!should_reject(prompt.first_byte_ms, prompt.wait_ms, prompt.target)) {
+        return admission_decision::accepted;
     }
     // Behind a wait of the whole target the smallest are refused too, and nobody is favoured.
     const bool is_refused_for_size = prompt.wait_ms < static_cast<double>(prompt.target.count());
-    return is_refused_for_size && is_owed_a_place(record, prompt.tokens, rules)
-               ? prompt_verdict::taken_for_its_size
-               : prompt_verdict::refused;
+    return is_refused_for_size && is_underserved(record, prompt.tokens, rules)
+               ? admission_decision::accepted_for_fairness
+               : admission_decision::rejected;
 }
 
 } // namespace
 
-prompt_verdict judge_prompt(size_record& record, const prompt_prospect& prompt,
-                            const size_fairness_rules& rules) {
-    const auto verdict = verdict_on(record, prompt, rules);
-    record.prompts.push_back({prompt.tokens, verdict != prompt_verdict::refused});
-    if (record.prompts.size() > rules.remembered) {
+admission_decision decide_admission(size_history& record, const prompt_estimate& prompt,
+                                    const size_fairness_rules& rules) {
+    const auto verdict = evaluate_prompt(record, prompt, rules);
+    record.prompts.push_back({prompt.tokens, verdict != admission_decision::rejected});
+    if (record.prompts.size() > rules.window_size) {
         record.prompts.pop_front();
     }
     return verdict;
--- a/src/kvcache/size_fairness.h
+++ b/src/kvcache/size_fairness.h
@@ -19,28 +19,28 @@
 struct size_fairness_rules {
     // A prompt is owed a place when of those as large as it or larger, less than this part of the
     // share of all prompts was taken.
-    double least_part = 0.5;
+    double min_relative_acceptance = 0.5;
     // Judged by so many prompts, the last ones.
-    std::size_t remembered = 100;
+    std::size_t window_size = 100;
     // Fewer do not tell how often the larger ones are taken.
-    std::size_t fewest = 30;
+    std::size_t min_samples = 30;
     // At least this part of the remembered prompts counts as being as large as the largest.
-    double largest_part = 0.1;
+    double large_share = 0.1;
 };
 
 // A prompt that came to a route, and whether it was taken.
 struct sized_prompt {
     std::int64_t tokens = 0;
-    bool taken = false;
+    bool accepted = false;
 };
 
 // The last prompts of one route at this entry, the newest last.
-struct size_record {
+struct size_history {
     std::deque<sized_prompt> prompts;
 };
 
 // A prompt, and what awaits it at the best of its upstreams.
-struct prompt_prospect {
+struct prompt_estimate {
     std::int64_t tokens = 0;
     // How long it will probably wait, and until its first event in all.
     double wait_ms = 0.0;
@@ -49,15 +49,15 @@
     base::milliseconds target{0};
 };
 
-enum class prompt_verdict {
-    taken,
+enum class admission_decision {
+    accepted,
     // It will come late, but prompts of its size have been refused too often.
-    taken_for_its_size,
-    refused
+    accepted_for_fairness,
+    rejected
 };
 
 // Decides whether a prompt is taken, and notes that in the record.
-prompt_verdict judge_prompt(size_record& record, const prompt_prospect& prompt,
-                            const size_fairness_rules& rules);
+admission_decision decide_admission(size_history& record, const prompt_estimate& prompt,
+                                    const size_fairness_rules& rules);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/size_fairness_tests.cpp
+++ b/src/kvcache/size_fairness_tests.cpp
@@ -15,8 +15,8 @@
 
 constexpr base::milliseconds target{1000};
 // Callers leave after this long without a first event.
-constexpr int patience_ms = 4000;
-constexpr double tokens_a_ms = 61.0;
+constexpr int client_timeout_ms = 4000;
+constexpr double tokens_per_ms = 61.0;
 constexpr std::size_t engine_count = 6;
 // A third more than the engines can read, for as long as the day lasts.
 constexpr double overload = 1.35;
@@ -30,7 +30,7 @@
 struct prompt {
     size_class size = ordinary;
     int arrived_ms = 0;
-    bool came_back = false;
+    bool is_retry = false;
 };
 
 struct tally {
@@ -47,13 +47,13 @@
 
 // The entry's decision: whether a prompt is taken by an engine that is busy for `wait_ms`.
 struct entry {
-    kvcache::size_record record;
+    kvcache::size_history record;
 
     bool takes(const prompt& one, double wait_ms) {
         const std::int64_t tokens = tokens_of[one.size];
-        const double own_ms = static_cast<double>(tokens) / tokens_a_ms;
-        return kvcache::judge_prompt(this->record, {tokens, wait_ms, wait_ms + own_ms, target},
-                                     {}) != kvcache::prompt_verdict::refused;
+        const double own_ms = static_cast<double>(tokens) / tokens_per_ms;
+        return kvcache::decide_admission(this->record, {tokens, wait_ms, wait_ms + own_ms, target},
+                                         {}) != kvcache::admission_decision::rejected;
     }
 };
 
@@ -81,20 +81,19 @@
         auto& first_free = *std::min_element(busy_until.begin(), busy_until.end());
         const double wait_ms = std::max(0.0, first_free - now);
         if (taking.takes(one, wait_ms)) {
-            const double own_ms = static_cast<double>(tokens_of[one.size]) / tokens_a_ms;
+            const double own_ms = static_cast<double>(tokens_of[one.size]) / tokens_per_ms;
             first_free = now + wait_ms + own_ms;
-            end(one, wait_ms + own_ms <= patience_ms);
-        } else if (one.came_back) {
+            end(one, wait_ms + own_ms <= client_timeout_ms);
+        } else if (one.is_retry) {
             end(one, false);
         } else {
-            one.came_back = true;
-            one.arrived_ms =
-                now + static_cast<int>(kvcache::come_back_after(++number * 7919).count());
+            one.is_retry = true;
+            one.arrived_ms = now + static_cast<int>(kvcache::retry_delay(++number * 7919).count());
             returning.push_back(one);
         }
     };
     const double between_ms =
-        mean_tokens / tokens_a_ms / static_cast<double>(engine_count) / overload;
+        mean_tokens / tokens_per_ms / static_cast<double>(engine_count) / overload;
     for (int now = 0; now < span_ms; ++now) {
         for (; next_ms <= now; next_ms += base::random_exponential(random, between_ms)) {
             arrive({draw_size(random), now, false}, now);
@@ -129,9 +128,9 @@
 
 TEST_CASE("a prompt is refused for its size only as long as its like are taken", "[kvcache]") {
     const kvcache::size_fairness_rules rules;
-    kvcache::size_record record;
+    kvcache::size_history record;
     const auto judge = [&](std::int64_t tokens, double wait_ms, double first_byte_ms) {
-        return kvcache::judge_prompt(record, {tokens, wait_ms, first_byte_ms, target}, rules);
+        return kvcache::decide_admission(record, {tokens, wait_ms, first_byte_ms, target}, rules);
     };
     const auto come = [&](int count, std::int64_t tokens, bool taken) {
         record.prompts.insert(record.prompts.end(), count, {tokens, taken});
@@ -142,28 +141,28 @@
     SECTION("and always where so few came that nothing is known") {
         come(20, small, true);
         come(5, big, false);
-        CHECK(judge(big, 600, 1100) == kvcache::prompt_verdict::refused);
+        CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
     SECTION("as while half as many of them are taken as of all") {
         come(45, small, true);
         come(5, big, true);
         come(3, big, false);
-        CHECK(judge(big, 600, 1100) == kvcache::prompt_verdict::refused);
+        CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
     SECTION("else it is taken, unless it would wait for the whole target") {
         come(45, small, true);
         come(1, big, true);
         come(9, big, false);
-        CHECK(judge(big, 1000, 1500) == kvcache::prompt_verdict::refused);
-        CHECK(judge(big, 600, 1100) == kvcache::prompt_verdict::taken_for_its_size);
-        CHECK(judge(small, 990, 1010) == kvcache::prompt_verdict::refused);
+        CHECK(judge(big, 1000, 1500) == kvcache::admission_decision::rejected);
+        CHECK(judge(big, 600, 1100) == kvcache::admission_decision::accepted_for_fairness);
+        CHECK(judge(small, 990, 1010) == kvcache::admission_decision::rejected);
     }
     SECTION("and what came long ago does not count") {
         come(50, big, false);
-        for (std::size_t each = 0; each < rules.remembered; ++each) {
-            CHECK(judge(small, 0, 50) == kvcache::prompt_verdict::taken);
+        for (std::size_t each = 0; each < rules.window_size; ++each) {
+            CHECK(judge(small, 0, 50) == kvcache::admission_decision::accepted);
         }
-        CHECK(record.prompts.size() == rules.remembered);
-        CHECK(judge(big, 600, 1100) == kvcache::prompt_verdict::refused);
+        CHECK(record.prompts.size() == rules.window_size);
+        CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
 }
--- /dev/null
+++ b/src/kvcache/store_index_tests.cpp
@@ -0,0 +1,50 @@
+#include "kvcache/store_index.h"
+
+#include <catch2/catch.hpp>
+
+using namespace camphorrail;
+
+namespace {
+
+constexpr base::instant now{base::seconds(100)};
+const std::string address = "10.9.9.1:1";
+const kvcache::prompt_scope space{{"m"}, {}};
+const auto salt = kvcache::make_salt(space, 1);
+
+kvcache::stored_part held(const std::string& part, std::int64_t tokens) {
+    return {kvcache::part_key(salt, part), tokens};
+}
+
+} // namespace
+
+TEST_CASE("what a store of kept cache holds is known from its events", "[kvcache]") {
+    const auto chain =
+        kvcache::make_chain(space, {{"agency", {2520}}, {"history", {3780}}, {"own", {100}}});
+    kvcache::store_index copies;
+    auto& store = copies[address];
+    CHECK_FALSE(kvcache::is_up_to_date(copies, address, now));
+
+    kvcache::apply_listing(store, {held("agency", 2520), held("history", 3776)}, now);
+    CHECK(kvcache::is_up_to_date(copies, address, now));
+    CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 6300);
+
+    SECTION("under the salt that it was saved with only") {
+        CHECK(kvcache::stored_tokens(copies, address, chain, kvcache::make_salt(space, 2)) == 0);
+    }
+    SECTION("level by level, since a part is of no use without those before it") {
+        kvcache::apply_changes(store, {held("history", 128)}, now);
+        CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 2520);
+        kvcache::apply_changes(store, {held("history", 3780), held("agency", 0)}, now);
+        CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 0);
+    }
+    SECTION("until it is gone: it comes back empty") {
+        kvcache::mark_down(store, now);
+        CHECK(store.down);
+        CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 0);
+        kvcache::apply_listing(store, {}, now);
+        CHECK_FALSE(store.down);
+    }
+    SECTION("and until nobody has heard from it for some seconds") {
+        CHECK_FALSE(kvcache::is_up_to_date(copies, address, now + base::seconds(4)));
+    }
+}
--- a/src/latency/first_byte.cpp
+++ b/src/latency/first_byte.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using vector = first_byte_model::vector;
-constexpr std::size_t terms = first_byte_model::terms;
+constexpr std::size_t term_count = first_byte_model::term_count;
 
 // Half of what is remembered is from this long ago: long enough for twenty prompts of the slowest
 // traffic seen, short enough to follow engines that turn slow.
@@ -17,39 +17,39 @@
 // What the figures from before the first sample weigh, and where they hold: a short prompt, and
 // prompts of these many tokens.
 constexpr double prior_weight = 2.0;
-constexpr std::array<double, terms> prior_tokens{0.0, 4000.0, 16000.0};
+constexpr std::array<double, term_count> prior_prompt_tokens{0.0, 4000.0, 16000.0};
 // Samples that lie farther off than this many spreads weigh less.
-constexpr double trusted_spreads = 1.5;
+constexpr double full_weight_deviations = 1.5;
 // One sample says at most that samples lie this many times as far off as before; many in a row mean
 // that the engines have changed.
-constexpr double most_spreads = 3.0;
-constexpr double least_spread_ms = 10.0;
-constexpr double most_spread_ms = 500.0;
-constexpr double spread_weight = 0.05;
+constexpr double max_deviations = 3.0;
+constexpr double min_deviation_ms = 10.0;
+constexpr double max_deviation_ms = 500.0;
+constexpr double deviation_step = 0.05;
 // Engines that read fewer or more tokens a millisecond than from 2 to 300 are not known.
-constexpr double least_token_ms = 0.003;
-constexpr double most_token_ms = 0.5;
-constexpr double most_pair_ms = 10.0;
-constexpr double most_fixed_ms = 2000.0;
+constexpr double min_token_ms = 0.003;
+constexpr double max_token_ms = 0.5;
+constexpr double max_million_pairs_ms = 10.0;
+constexpr double max_fixed_ms = 2000.0;
 
-vector terms_of(const reading_work& work) {
-    return {1.0, work.to_read + work.ahead, work.pairs};
+vector features_of(const prefill_work& work) {
+    return {1.0, work.tokens + work.queued_tokens, work.million_pairs};
 }
 
-double product(const vector& left, const vector& right) {
+double dot_product(const vector& left, const vector& right) {
     double sum = 0.0;
-    for (std::size_t each = 0; each < terms; ++each) {
+    for (std::size_t each = 0; each < term_count; ++each) {
         sum += left[each] * right[each];
     }
     return sum;
 }
 
 void add(first_byte_model& model, const vector& x, double ms, double weight) {
-    for (std::size_t row = 0; row < terms; ++row) {
-        for (std::size_t column = 0; column < terms; ++column) {
-            model.products[row][column] += weight * x[row] * x[column];
+    for (std::size_t row = 0; row < term_count; ++row) {
+        for (std::size_t column = 0; column < term_count; ++column) {
+            model.normal_matrix[row][column] += weight * x[row] * x[column];
         }
-        model.targets[row] += weight * x[row] * ms;
+        model.normal_vector[row] += weight * x[row] * ms;
     }
 }
 
@@ -57,36 +57,36 @@
 // one length say nothing absurd of another.
 void add_prior(first_byte_model& model) {
     static const first_byte_model unseen;
-    for (const double tokens : prior_tokens) {
-        const vector x = terms_of({tokens, 0.0, attention_pairs(tokens, tokens)});
-        add(model, x, product(unseen.figures, x), prior_weight);
+    for (const double tokens : prior_prompt_tokens) {
+        const vector x = features_of({tokens, 0.0, attention_pairs(tokens, tokens)});
+        add(model, x, dot_product(unseen.coefficients, x), prior_weight);
     }
 }
 
 // Solves the normal equations by elimination; false where they have no one solution.
-bool solve(std::array<vector, terms> rows, vector right, vector& solution) {
-    constexpr double vanishing = 1e-9;
-    for (std::size_t pivot = 0; pivot < terms; ++pivot) {
+bool solve(std::array<vector, term_count> rows, vector right, vector& solution) {
+    constexpr double singular_pivot = 1e-9;
+    for (std::size_t pivot = 0; pivot < term_count; ++pivot) {
         std::size_t best = pivot;
-        for (std::size_t row = pivot + 1; row < terms; ++row) {
+        for (std::size_t row = pivot + 1; row < term_count; ++row) {
             best = std::abs(rows[row][pivot]) > std::abs(rows[best][pivot]) ? row : best;
         }
         std::swap(rows[pivot], rows[best]);
         std::swap(right[pivot], right[best]);
-        if (std::abs(rows[pivot][pivot]) < vanishing) {
+        if (std::abs(rows[pivot][pivot]) < singular_pivot) {
             return false;
         }
-        for (std::size_t row = pivot + 1; row < terms; ++row) {
+        for (std::size_t row = pivot + 1; row < term_count; ++row) {
             const double factor = rows[row][pivot] / rows[pivot][pivot];
-            for (std::size_t column = pivot; column < terms; ++column) {
+            for (std::size_t column = pivot; column < term_count; ++column) {
                 rows[row][column] -= factor * rows[pivot][column];
             }
             right[row] -= factor * right[pivot];
         }
     }
-    for (std::size_t row = terms; row-- > 0;) {
+    for (std::size_t row = term_count; row-- > 0;) {
         double sum = right[row];
-        for (std::size_t column = row + 1; column < terms; ++column) {
+        for (std::size_t column = row + 1; column < term_count; ++column) {
             sum -= rows[row][column] * solution[column];
         }
         solution[row] = sum / rows[row][row];
@@ -94,19 +94,19 @@
     return true;
 }
 
-void fade(first_byte_model& model, base::instant now) {
-    const double passed = std::chrono::duration<double>(now - model.at).count();
-    model.at = std::max(model.at, now);
+void decay(first_byte_model& model, base::instant now) {
+    const double passed = std::chrono::duration<double>(now - model.updated_at).count();
+    model.updated_at = std::max(model.updated_at, now);
     if (passed <= 0.0 || model.weight == 0.0) {
         return;
     }
     const double kept = std::exp2(-passed / half_life_s);
-    for (auto& row : model.products) {
+    for (auto& row : model.normal_matrix) {
         for (auto& each : row) {
             each *= kept;
         }
     }
-    for (auto& each : model.targets) {
+    for (auto& each : model.normal_vector) {
         each *= kept;
     }
     model.weight *= kept;
@@ -119,34 +119,36 @@
     return to_read * (all_tokens - to_read / 2.0) / million;
 }
 
-void note_first_byte(first_byte_model& model, const first_byte_sample& sample, base::instant now) {
-    fade(model, now);
-    const vector x = terms_of(sample.work);
-    const double off = std::abs(sample.ms - product(model.figures, x));
-    const double trusted = trusted_spreads * model.spread_ms;
+void record_first_byte(first_byte_model& model, const first_byte_sample& sample,
+                       base::instant now) {
+    decay(model, now);
+    const vector x = features_of(sample.work);
+    const double off = std::abs(sample.ms - dot_product(model.coefficients, x));
+    const double trusted = full_weight_deviations * model.deviation_ms;
     const double share = off <= trusted ? 1.0 : trusted / off;
     const double weight = share * share;
-    const double counted = std::min(off, most_spreads * model.spread_ms);
-    model.spread_ms = std::clamp(model.spread_ms + spread_weight * (counted - model.spread_ms),
-                                 least_spread_ms, most_spread_ms);
+    const double counted = std::min(off, max_deviations * model.deviation_ms);
+    model.deviation_ms =
+        std::clamp(model.deviation_ms + deviation_step * (counted - model.deviation_ms),
+                   min_deviation_ms, max_deviation_ms);
     add(model, x, sample.ms, weight);
     model.weight += weight;
     first_byte_model all = model;
     add_prior(all);
     vector solved{};
-    if (solve(all.products, all.targets, solved)) {
-        model.figures = {std::clamp(solved[0], 0.0, most_fixed_ms),
-                         std::clamp(solved[1], least_token_ms, most_token_ms),
-                         std::clamp(solved[2], 0.0, most_pair_ms)};
+    if (solve(all.normal_matrix, all.normal_vector, solved)) {
+        model.coefficients = {std::clamp(solved[0], 0.0, max_fixed_ms),
+                              std::clamp(solved[1], min_token_ms, max_token_ms),
+                              std::clamp(solved[2], 0.0, max_million_pairs_ms)};
     }
 }
 
-double expected_first_byte_ms(const first_byte_model& model, const reading_work& work) {
-    return product(model.figures, terms_of(work));
+double expected_first_byte_ms(const first_byte_model& model, const prefill_work& work) {
+    return dot_product(model.coefficients, features_of(work));
 }
 
-double reading_ms(const first_byte_model& model, const reading_work& work) {
-    return expected_first_byte_ms(model, work) - model.figures[0];
+double prefill_ms(const first_byte_model& model, const prefill_work& work) {
+    return expected_first_byte_ms(model, work) - model.coefficients[0];
 }
 
 } // namespace camphorrail::latency
--- a/src/peering/messages.cpp
+++ b/src/peering/messages.cpp
@@ -91,7 +91,7 @@
 }
 
 json to_json(const latency::first_byte_sample& sample) {
-    return {sample.work.to_read, sample.work.ahead, sample.work.pairs, sample.ms};
+    return {sample.work.tokens, sample.work.queued_tokens, sample.work.million_pairs, sample.ms};
 }
 
 latency::first_byte_sample read_sample(const json& value) {
@@ -99,13 +99,13 @@
             value.at(3).get<double>()};
 }
 
-json to_json(const kvcache::prompt_read& read) {
+json to_json(const kvcache::prompt_prefill& read) {
     json levels = json::array();
     for (const auto& level : read.levels) {
         levels.push_back({level.key, level.tokens});
     }
-    return {levels,           read.own_tokens, read.weights,
-            to_json(read.by), read.saved,      to_json(read.shown)};
+    return {levels,     read.unshared_tokens,    read.weights, to_json(read.engine),
+            read.saved, to_json(read.first_byte)};
 }
 
 json to_json(const upstream_load& item) {
@@ -194,19 +194,19 @@
     return crash;
 }
 
-kvcache::prompt_read read_prompt_read(const json& value) {
-    kvcache::prompt_read one;
+kvcache::prompt_prefill read_prompt_read(const json& value) {
+    kvcache::prompt_prefill one;
     for (const auto& level : value.at(0)) {
         one.levels.push_back({level.at(0).get<std::uint64_t>(), level.at(1).get<std::int64_t>()});
     }
     if (one.levels.empty()) {
         throw std::invalid_argument("prompt read without levels");
     }
-    one.own_tokens = value.at(1).get<std::int64_t>();
+    one.unshared_tokens = value.at(1).get<std::int64_t>();
     one.weights = value.at(2).get<std::int64_t>();
-    one.by = read_instance(value.at(3));
+    one.engine = read_instance(value.at(3));
     one.saved = value.at(4).get<bool>();
-    one.shown = read_sample(value.at(5));
+    one.first_byte = read_sample(value.at(5));
     return one;
 }
 
--- a/src/peering/messages.h
+++ b/src/peering/messages.h
@@ -4,8 +4,8 @@
 #include "base/result.h"
 #include "base/units.h"
 #include "fleet/workload.h"
-#include "kvcache/cache_beliefs.h"
-#include "kvcache/kept_copies.h"
+#include "kvcache/cache_index.h"
+#include "kvcache/store_index.h"
 #include "ports/platform.h"
 #include "quarantine/quarantine.h"
 #include "quota/quota.h"
@@ -72,7 +72,7 @@
     bool complete = false;
     std::vector<upstream_load> items;
     std::vector<store_transfer> transfers;
-    std::vector<kvcache::prompt_read> reads;
+    std::vector<kvcache::prompt_prefill> reads;
     // Uptime of the entry, and the use of teams' quotas by requests that it has admitted.
     base::milliseconds uptime{0};
     std::vector<quota::usage_count> usage;
@@ -90,7 +90,7 @@
     bool complete = false;
     // The sender can't reach the store.
     bool unreachable = false;
-    std::vector<kvcache::kept_part> parts;
+    std::vector<kvcache::stored_part> parts;
 };
 
 // A target version of a model's weights, as one entry knows it.
--- a/src/peering/messages_tests.cpp
+++ b/src/peering/messages_tests.cpp
@@ -82,12 +82,12 @@
 
 TEST_CASE("prompt reads and KV cache store contents are unchanged by encoding and decoding",
           "[proxy]") {
-    kvcache::prompt_read sent;
+    kvcache::prompt_prefill sent;
     sent.levels = {{1, 2520}, {~0ULL, 3780}};
     sent.weights = 4;
-    sent.by = {{"e1"}, {17}};
+    sent.engine = {{"e1"}, {17}};
     sent.saved = true;
-    sent.shown = {{2890.0, 400.0, 1.5}, 62.5};
+    sent.first_byte = {{2890.0, 400.0, 1.5}, 62.5};
     peering::entry_load load;
     load.reads = {sent};
     const auto reads = peering::decode(peering::encode({peering::load_report{{load}}}));
@@ -95,9 +95,9 @@
         std::get<peering::load_report>(reads.value().payload).loads.at(0).reads.at(0);
     CHECK(read.levels.at(1).key == ~0ULL);
     CHECK(read.levels.at(1).tokens == 3780);
-    CHECK(read.shown.work.to_read == 2890.0);
-    CHECK(read.shown.ms == 62.5);
-    CHECK(read.by.id.value == "e1");
+    CHECK(read.first_byte.work.tokens == 2890.0);
+    CHECK(read.first_byte.ms == 62.5);
+    CHECK(read.engine.id.value == "e1");
     CHECK(read.saved);
     const auto kept = peering::decode(
         peering::encode({peering::kv_store_contents{"10.9.9.9:1", true, false, {{~0ULL, 2520}}}}));
--- a/src/prefix/prefix_chain.cpp
+++ b/src/prefix/prefix_chain.cpp
@@ -39,7 +39,7 @@
     for (const std::string_view piece : split(parts)) {
         key = base::combine_hashes(key, base::stable_hash(piece));
         bytes += static_cast<std::int64_t>(piece.size());
-        const prefix_level level{key, {bytes / bytes_a_token}};
+        const prefix_level level{key, {bytes / bytes_per_token}};
         if (chain.size() < max_levels) {
             chain.push_back(level);
         } else {
--- a/src/prefix/prefix_chain.h
+++ b/src/prefix/prefix_chain.h
@@ -29,7 +29,7 @@
 inline constexpr std::size_t max_levels = 8;
 
 // Roughly how many bytes of text make one token; used for estimates only.
-inline constexpr std::int64_t bytes_a_token = 4;
+inline constexpr std::int64_t bytes_per_token = 4;
 
 // The chain of a prompt that comes in parts, such as the messages of a chat. A part longer than
 // `split_bytes` is cut at that size, so that a long log shares its head with an earlier one.
--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -63,16 +63,16 @@
     return pool == state.config->pools.end() ? 0 : pool->second.engine_tokens;
 }
 
-void record_prompt_read(entry_context& context, const kvcache::prompt_read& read) {
-    const auto* one = fleet::find_instance(context.state.fleet, read.by);
+void record_prompt_read(entry_context& context, const kvcache::prompt_prefill& read) {
+    const auto* one = fleet::find_instance(context.state.fleet, read.engine);
     if (one == nullptr) {
         return;
     }
     const base::instant now = context.now();
-    kvcache::note_read(context.state.cache, read, engine_capacity_tokens(context.state, read.by),
-                       now);
-    if (read.shown.ms > 0.0) {
-        latency::note_first_byte(context.state.latency[one->listed.pool], read.shown, now);
+    kvcache::record_prefill(context.state.cache, read,
+                            engine_capacity_tokens(context.state, read.engine), now);
+    if (read.first_byte.ms > 0.0) {
+        latency::record_first_byte(context.state.latency[one->listed.pool], read.first_byte, now);
     }
 }
 
@@ -86,7 +86,7 @@
         if (name == model && held < version) {
             held = version;
             one->busy_until = context.now();
-            kvcache::forget_reader(context.state.cache, upstream.id);
+            kvcache::forget_engine(context.state.cache, upstream.id);
             context.log.line(adapters::importance::keep, "upstream_weights")
                 .text("upstream", upstream.id.value)
                 .number("version", version);
@@ -96,9 +96,9 @@
 
 void discard_previous_incarnation(entry_context& context, const base::upstream_instance& now_in) {
     context.connections.forget(now_in.id);
-    kvcache::forget_reader(context.state.cache, now_in.id);
+    kvcache::forget_engine(context.state.cache, now_in.id);
     std::erase_if(context.state.unreported_reads,
-                  [&](const auto& read) { return read.by.id == now_in.id; });
+                  [&](const auto& read) { return read.engine.id == now_in.id; });
     context.log.line(adapters::importance::keep, "upstream_restarted")
         .text("upstream", now_in.id.value)
         .number("incarnation", now_in.incarnation.value);
--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -5,10 +5,10 @@
 #include "adapters/metrics.h"
 #include "admission/retry_window.h"
 #include "fleet/fleet.h"
-#include "kvcache/cache_beliefs.h"
-#include "kvcache/kept_copies.h"
+#include "kvcache/cache_index.h"
 #include "kvcache/lanes.h"
 #include "kvcache/size_fairness.h"
+#include "kvcache/store_index.h"
 #include "latency/first_byte.h"
 #include "mirror/store_mirror.h"
 #include "ports/platform_codec.h"
@@ -31,21 +31,21 @@
     std::shared_ptr<const routes::operators_config> config;
     fleet::fleet fleet;
     std::map<base::model_id, weights_history> weights;
-    kvcache::cache_beliefs cache;
+    kvcache::cache_index cache;
     // Prompts whose KV cache the KV cache stores hold.
-    kvcache::kept_copies stored_prompts;
+    kvcache::store_index stored_prompts;
     // First-byte latency of each pool's engines, learned from their requests.
     std::map<base::pool_id, latency::first_byte_model> latency;
     // Number of engines per pool that are reserved for short prompts.
     kvcache::lane_sizes lanes;
     // Placement results of the latest prompts, by route name.
-    std::map<std::string, kvcache::size_record> prompt_sizes;
+    std::map<std::string, kvcache::size_history> prompt_sizes;
     // Transfer time in milliseconds per KV cache store that this entry has requested and not
     // reported to other entries yet.
     std::map<std::string, double> unreported_transfers;
     // Prompts that engines have read for this entry's requests and that it has not reported to
     // other entries yet.
-    std::vector<kvcache::prompt_read> unreported_reads;
+    std::vector<kvcache::prompt_prefill> unreported_reads;
     std::map<base::pool_id, admission::retry_window> retries;
     // Requests that are held back because they crash the upstreams that run them.
     quarantine::quarantine quarantine;
@@ -129,7 +129,7 @@
 
 // Records what a request of this or another entry showed about an engine: that it now holds the
 // prompt in its cache, and how long the first byte took.
-void record_prompt_read(entry_context& context, const kvcache::prompt_read& read);
+void record_prompt_read(entry_context& context, const kvcache::prompt_prefill& read);
 
 // Records that an upstream reported draining at `reported_at`, either to this entry or, if
 // `reported_by` is not empty, to that entry. Returns whether this is new.
--- a/src/proxy/context_tests.cpp
+++ b/src/proxy/context_tests.cpp
@@ -16,15 +16,15 @@
     constexpr std::uint64_t prompt = 9;
     constexpr std::int64_t room = 10000;
     const auto read_at = [&](std::int64_t weights) {
-        kvcache::prompt_read read;
+        kvcache::prompt_prefill read;
         read.levels = {{prompt, 4000}};
         read.weights = weights;
-        read.by = fleet::instance_of(member);
-        kvcache::note_read(world.state.cache, read, room, world.entry().now());
+        read.engine = fleet::instance_of(member);
+        kvcache::record_prefill(world.state.cache, read, room, world.entry().now());
     };
     const auto holds = [&](std::int64_t weights) {
         return kvcache::holds_level(world.state.cache, {"engine"},
-                                    kvcache::key_at(prompt, weights));
+                                    kvcache::key_for_weights(prompt, weights));
     };
     read_at(1);
     REQUIRE(holds(1));
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -118,9 +118,9 @@
     }
     auto& kept = this->context.state.stored_prompts[address];
     if (listing) {
-        kvcache::take_listing(kept, told.parts, now);
+        kvcache::apply_listing(kept, told.parts, now);
     } else {
-        kvcache::take_changes(kept, told.parts, now);
+        kvcache::apply_changes(kept, told.parts, now);
     }
     this->tell(told);
 }
@@ -137,7 +137,7 @@
     store.next_ask = now + down_pause;
     auto& kept = this->context.state.stored_prompts[address];
     const bool news = !kept.down;
-    kvcache::note_down(kept, now);
+    kvcache::mark_down(kept, now);
     if (news) {
         this->note_reachable(address, false);
         this->tell({address, false, true, {}});
@@ -165,11 +165,11 @@
             .text("entry", from.value);
     }
     if (told.unreachable) {
-        kvcache::note_down(kept, now);
+        kvcache::mark_down(kept, now);
     } else if (told.complete) {
-        kvcache::take_listing(kept, told.parts, now);
+        kvcache::apply_listing(kept, told.parts, now);
     } else {
-        kvcache::take_changes(kept, told.parts, now);
+        kvcache::apply_changes(kept, told.parts, now);
     }
 }
 
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -47,13 +47,13 @@
 
 weights::term_rules leadership::rules() const {
     weights::term_rules rules;
-    rules.lease = base::seconds(lease_seconds);
-    rules.apart = this->context.settings.bounds.lease;
+    rules.lease_duration = base::seconds(lease_seconds);
+    rules.handover_gap = this->context.settings.bounds.lease;
     return rules;
 }
 
 bool leadership::may_order() {
-    if (!this->held || !weights::may_order(*this->held, this->context.now())) {
+    if (!this->held || !weights::may_issue_orders(*this->held, this->context.now())) {
         return false;
     }
     if (!this->written_down) {
@@ -70,12 +70,12 @@
     }
     this->writing_down = true;
     ports::transaction change;
-    change.preconditions = {{this->leader_key(), this->held->fence}};
+    change.preconditions = {{this->leader_key(), this->held->fencing_token}};
     change.writes = {{this->orderer_key(), this->name(), false, 0}};
-    const std::int64_t fence = this->held->fence;
+    const std::int64_t fence = this->held->fencing_token;
     this->platform.commit(change, [this, fence](base::result<ports::commit_result> done) {
         this->writing_down = false;
-        if (!this->held || this->held->fence != fence || !done.has_value()) {
+        if (!this->held || this->held->fencing_token != fence || !done.has_value()) {
             return;
         }
         if (done.value().applied) {
@@ -100,24 +100,24 @@
     this->holder_seen = holder;
 }
 
-weights::last_orderer leadership::last_orderer() const {
+weights::last_order_issuer leadership::last_orderer() const {
     const auto& items = this->context.state.store.items;
     const auto last = items.find(this->orderer_key());
-    weights::last_orderer before;
+    weights::last_order_issuer before;
     if (last == items.end() || last->second.value == this->name()) {
         return before;
     }
-    before.other = true;
+    before.is_other_process = true;
     const auto& ended = this->orderer_ended;
     if (ended && ended->orderer_revision == last->second.mod_revision) {
-        before.seen_ended = ended->at;
+        before.ended_at = ended->at;
     }
     return before;
 }
 
 void leadership::tick() {
     const base::instant now = this->context.now();
-    if (this->held && now >= this->held->until) {
+    if (this->held && now >= this->held->valid_until) {
         this->lose("lease_ran_out");
     }
     if (this->asking) {
@@ -190,9 +190,9 @@
                               this->written_down = false;
                               this->next_renewal = now + renewal_period;
                               this->context.log.line(importance::keep, "leader")
-                                  .number("fence", this->held->fence)
-                                  .flag("other_before", before.other)
-                                  .span("orders_after_ms", this->held->from - now);
+                                  .number("fence", this->held->fencing_token)
+                                  .flag("other_before", before.is_other_process)
+                                  .span("orders_after_ms", this->held->valid_from - now);
                           });
 }
 
@@ -200,13 +200,13 @@
     const base::instant asked = this->context.now();
     this->next_renewal = asked + renewal_period;
     this->asking = true;
-    this->platform.renew_lease(this->held->lease, [this, asked](base::result<bool> kept) {
+    this->platform.renew_lease(this->held->lease_id, [this, asked](base::result<bool> kept) {
         this->asking = false;
         if (!this->held) {
             return;
         }
         if (kept.has_value() && kept.value()) {
-            weights::renew(*this->held, asked, this->rules());
+            weights::renew_term(*this->held, asked, this->rules());
         } else if (kept.has_value()) {
             this->lose("lease_ended");
         }
@@ -216,7 +216,7 @@
 void leadership::lose(const char* why) {
     this->context.log.line(importance::keep, "leader_no_more")
         .text("why", why)
-        .number("fence", this->held->fence);
+        .number("fence", this->held->fencing_token);
     this->held.reset();
     this->written_down = false;
 }
@@ -226,7 +226,7 @@
         return;
     }
     ports::transaction change;
-    change.preconditions = {{this->leader_key(), this->held->fence}};
+    change.preconditions = {{this->leader_key(), this->held->fencing_token}};
     this->lose("stopping");
     change.writes = {{this->leader_key(), "", true, 0}};
     this->platform.commit(change, [this](base::result<ports::commit_result> done) {
--- a/src/proxy/leadership.h
+++ b/src/proxy/leadership.h
@@ -27,7 +27,7 @@
     [[nodiscard]] bool may_order();
     // Notes when another entry's term is over; to be called after each change of the mirror.
     void note_store_change();
-    [[nodiscard]] std::int64_t fence() const { return this->held ? this->held->fence : 0; }
+    [[nodiscard]] std::int64_t fence() const { return this->held ? this->held->fencing_token : 0; }
     // What upstreams know this holder by.
     [[nodiscard]] std::string name() const;
 
@@ -41,7 +41,7 @@
     [[nodiscard]] std::string leader_key() const;
     [[nodiscard]] std::string orderer_key() const;
     void write_down_orderer();
-    [[nodiscard]] weights::last_orderer last_orderer() const;
+    [[nodiscard]] weights::last_order_issuer last_orderer() const;
     [[nodiscard]] weights::term_rules rules() const;
 
     entry_context& context;
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -154,7 +154,7 @@
             std::max<base::instant>(one->last_byte_at, now - load.age - item.last_byte_age);
     }
     for (const auto& each : load.transfers) {
-        kvcache::note_transfer(state.stored_prompts[each.store], each.duration_ms, now);
+        kvcache::record_transfer(state.stored_prompts[each.store], each.duration_ms, now);
     }
     for (const auto& read : load.reads) {
         record_prompt_read(this->context, read);
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -154,10 +154,10 @@
         load.from = {"zz"};
         load.report_interval = base::milliseconds(60000);
         load.items = {{of, {2, 900, 1900, 0}, base::milliseconds(0)}};
-        kvcache::prompt_read read;
+        kvcache::prompt_prefill read;
         read.levels = {{prompt, 500}};
         read.weights = weights;
-        read.by = of;
+        read.engine = of;
         load.reads = {read};
         linked.send(peering::load_report{{load}});
         linked.send(peering::kv_store_contents{std::to_string(incarnation)});
@@ -165,7 +165,8 @@
     std::string last_told;
     linked.others.kept_told = [&](const auto&, const auto& told) { last_told = told.store; };
     const auto readings = [&] {
-        return kvcache::readings_of(linked.world.state.cache, kvcache::key_at(prompt, weights))
+        return kvcache::readers_of(linked.world.state.cache,
+                                   kvcache::key_for_weights(prompt, weights))
             .size();
     };
     tell(100);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -315,11 +315,11 @@
     kvcache::assign_lanes(this->state.fleet, this->state.lanes, this->context.now(), {});
     for (const auto& [pool, size] : this->state.lanes) {
         const auto known = before.find(pool);
-        if (known == before.end() || known->second.kept != size.kept) {
+        if (known == before.end() || known->second.reserved != size.reserved) {
             this->log.line(importance::keep, "lane_sized")
                 .text("pool", pool.value)
-                .number("engines_for_short", static_cast<std::int64_t>(size.kept))
-                .number("wanted_in_100", std::lround(100.0 * size.wanted));
+                .number("engines_for_short", static_cast<std::int64_t>(size.reserved))
+                .number("wanted_in_100", std::lround(100.0 * size.demand));
         }
     }
 }
--- a/src/proxy/proxy_beliefs.cpp
+++ b/src/proxy/proxy_beliefs.cpp
@@ -163,11 +163,11 @@
         discard_previous_incarnation(this->context, fleet::instance_of(one));
     }
     for (const auto& id : change.weights_changed) {
-        kvcache::forget_reader(this->state.cache, id);
+        kvcache::forget_engine(this->state.cache, id);
     }
     for (const auto& id : change.removed) {
         this->connections.forget(id);
-        kvcache::forget_reader(this->state.cache, id);
+        kvcache::forget_engine(this->state.cache, id);
     }
 }
 
--- a/src/proxy/request_answers.cpp
+++ b/src/proxy/request_answers.cpp
@@ -142,7 +142,7 @@
     const std::chrono::duration<double, std::milli> taken =
         this->context.now() - this->current->sent_at;
     const auto to_read = static_cast<double>(choice.to_read);
-    const auto all = static_cast<double>(choice.chain.all_tokens());
+    const auto all = static_cast<double>(choice.chain.total_tokens());
     return {
         {to_read, static_cast<double>(choice.unread_there), latency::attention_pairs(to_read, all)},
         std::max(0.0, taken.count() - choice.fetch_ms)};
@@ -153,18 +153,18 @@
     const auto& choice = this->current->choice;
     const auto& chain = choice.chain;
     const bool holds = this->member_of_attempt() != nullptr;
-    if (!holds || chain.shared_tokens() < kvcache::least_tracked_tokens) {
+    if (!holds || chain.shared_tokens() < kvcache::min_tracked_tokens) {
         return;
     }
-    kvcache::prompt_read read;
+    kvcache::prompt_prefill read;
     for (const auto& level : chain.levels) {
         read.levels.push_back({level.key, level.part_tokens});
     }
-    read.own_tokens = chain.own_tokens;
+    read.unshared_tokens = chain.unshared_tokens;
     read.weights = choice.weights;
-    read.by = instance_of(choice);
+    read.engine = instance_of(choice);
     read.saved = !choice.save_to.empty();
-    read.shown = this->shown_by_attempt();
+    read.first_byte = this->shown_by_attempt();
     proxy::record_prompt_read(this->context, read);
     this->context.state.unreported_reads.push_back(std::move(read));
 }
--- a/src/proxy/request_flow_tests.cpp
+++ b/src/proxy/request_flow_tests.cpp
@@ -465,7 +465,7 @@
     const int status = world.call(prompt("stream", "r1")).heads.at(0).status;
     CHECK(status == (refused_before ? 200 : 429));
     CHECK(record.prompts.back().tokens == prompt_tokens);
-    CHECK(record.prompts.back().taken == refused_before);
+    CHECK(record.prompts.back().accepted == refused_before);
 }
 
 // A request waits for its connection to an upstream, on a VM whose turn is long, and meanwhile the
--- a/src/proxy/request_sending.cpp
+++ b/src/proxy/request_sending.cpp
@@ -52,14 +52,14 @@
 // Decides whether a request that no upstream has had yet is taken, or refused in overload, and
 // notes that for the prompts after it. Calls without a prompt wait at no engine.
 bool request_flow::admit_prompt(const upstream_choice& choice) {
-    const std::int64_t tokens = choice.chain.all_tokens();
+    const std::int64_t tokens = choice.chain.total_tokens();
     if (tokens == 0) {
         return true;
     }
     auto& record = this->context.state.prompt_sizes[this->request.route->name];
-    const auto verdict = kvcache::judge_prompt(
+    const auto verdict = kvcache::decide_admission(
         record, {tokens, choice.wait_ms, choice.first_byte_ms, this->wanted.target}, {});
-    if (verdict == kvcache::prompt_verdict::taken_for_its_size) {
+    if (verdict == kvcache::admission_decision::accepted_for_fairness) {
         this->context.log.line(importance::keep, "taken_for_its_size")
             .text("request", this->facts.request_id)
             .text("route", this->request.route->name)
@@ -69,7 +69,7 @@
             .number("target_ms", this->wanted.target.count());
         this->context.metrics.count("camphorrail_prompts_taken_for_their_size_total");
     }
-    return verdict != kvcache::prompt_verdict::refused;
+    return verdict != kvcache::admission_decision::rejected;
 }
 
 // Whether no upstream has had it yet.
@@ -82,14 +82,14 @@
         .text("request", this->facts.request_id)
         .text("route", this->request.route->name)
         .text("best_upstream", choice.id.value)
-        .number("prompt_tokens", choice.chain.all_tokens())
+        .number("prompt_tokens", choice.chain.total_tokens())
         .number("to_read", choice.to_read)
         .number("wait_ms", static_cast<std::int64_t>(choice.wait_ms))
         .number("expected_first_byte_ms", static_cast<std::int64_t>(choice.first_byte_ms))
         .number("target_ms", this->wanted.target.count())
         .number("unread_there", choice.unread_there);
     this->refuse(base::code::overloaded, base::execution_state::not_run,
-                 kvcache::come_back_after(base::stable_hash(this->facts.request_id)));
+                 kvcache::retry_delay(base::stable_hash(this->facts.request_id)));
 }
 
 ports::attempt_parameters request_flow::terms_of(const upstream_choice& choice) const {
@@ -142,7 +142,7 @@
         .span("config_age_ms", logged_config_age(this->context))
         .number("time_left_ms", terms.time_left.count())
         .number("rank", terms.priority)
-        .number("prompt_tokens", choice.chain.all_tokens())
+        .number("prompt_tokens", choice.chain.total_tokens())
         .number("to_read", choice.to_read)
         .number("unread_there", choice.unread_there)
         .number("wait_ms", static_cast<std::int64_t>(choice.wait_ms))
@@ -197,7 +197,7 @@
 
 void request_flow::count_prompt_placed() {
     const auto& sent = this->current->choice;
-    const auto all_tokens = sent.chain.all_tokens();
+    const auto all_tokens = sent.chain.total_tokens();
     if (all_tokens == 0) {
         return;
     }
@@ -260,20 +260,21 @@
 void request_flow::note_prompt_sent() {
     const auto& sent = this->current->choice;
     auto& state = this->context.state;
-    if (sent.chain.shared_tokens() >= kvcache::least_tracked_tokens) {
-        kvcache::note_sent(state.cache, sent.id, sent.chain, sent.weights,
-                           engine_capacity_tokens(state, instance_of(sent)));
+    if (sent.chain.shared_tokens() >= kvcache::min_tracked_tokens) {
+        kvcache::record_sent(state.cache, sent.id, sent.chain, sent.weights,
+                             engine_capacity_tokens(state, instance_of(sent)));
     }
     for (const auto& [store, ms] : sent.transfers) {
-        kvcache::note_transfer(state.stored_prompts[store], ms, this->context.now());
+        kvcache::record_transfer(state.stored_prompts[store], ms, this->context.now());
         state.unreported_transfers[store] += ms;
     }
 }
 
 fleet::request_work request_flow::work_of_attempt() const {
     const auto& choice = this->current->choice;
-    const bool short_prompt = choice.chain.all_tokens() > 0 && !kvcache::is_long(choice.chain);
-    return {choice.chain.all_tokens(), choice.to_read, !may_repeat(*this->request.route),
+    const bool short_prompt =
+        choice.chain.total_tokens() > 0 && !kvcache::is_long_prompt(choice.chain);
+    return {choice.chain.total_tokens(), choice.to_read, !may_repeat(*this->request.route),
             short_prompt};
 }
 
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -47,10 +47,10 @@
     for (const auto& store : config.kv_stores) {
         double tokens = 0.0;
         if (made.fetch_from == store.address && made.fetch_ms > 0.0) {
-            tokens += static_cast<double>(chain.all_tokens() - made.to_read);
+            tokens += static_cast<double>(chain.total_tokens() - made.prefill_tokens);
         }
         if (made.save_to == store.address) {
-            tokens += static_cast<double>(chain.all_tokens());
+            tokens += static_cast<double>(chain.total_tokens());
         }
         if (tokens > 0.0) {
             found.emplace_back(store.address, kvcache::transfer_ms(pool, store, tokens));
@@ -175,7 +175,7 @@
     }
     const base::instant now = context.now();
     const auto rules = fleet_rules_of(context.settings);
-    const kvcache::prompt_space space{request.prompt->model, request.isolated_team};
+    const kvcache::prompt_scope space{request.prompt->model, request.isolated_team};
     auto chain = kvcache::make_chain(space, request.prompt->prompt_parts);
     const auto members = pool_members(context.state.fleet, request.pool);
     auto made = kvcache::place(candidates, {space, chain, pool->second, members, request.target},
@@ -195,9 +195,9 @@
     choice.cache_salt = std::move(made.salt);
     choice.fetch_from = std::move(made.fetch_from);
     choice.save_to = std::move(made.save_to);
-    choice.to_read = made.to_read;
+    choice.to_read = made.prefill_tokens;
     choice.why = made.is_home ? "home" : "least_cost";
-    choice.unread_there = made.unread_there;
+    choice.unread_there = made.queued_prefill_tokens;
     choice.wait_ms = made.wait_ms;
     choice.fetch_ms = made.fetch_ms;
     choice.first_byte_ms = made.first_byte_ms;
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -98,9 +98,10 @@
     const base::instant now = this->context.now();
     const auto since = outdated_since(history, made.version);
     made.in_flight = fleet::total_work(one, now).in_flight;
-    made.unused = since < now && now - since >= max_outdated_weights_age(this->context.settings);
+    made.out_of_service =
+        since < now && now - since >= max_outdated_weights_age(this->context.settings);
     made.lane = one.short_lane ? 1 : 0;
-    made.change_time = weights::drain_rules{}.usual + load_time;
+    made.load_duration = weights::drain_rules{}.min_duration + load_time;
     made.suspected = !membership::usable(one.health, now);
     if (const auto last = this->loaded_at.find(made.id); last != this->loaded_at.end()) {
         made.loaded_at = last->second;
@@ -148,7 +149,7 @@
     const std::int64_t version = newest(history);
     this->order_the_drained(model, version);
     weights::load_rules rules;
-    rules.within = std::max<base::micros>(
+    rules.rollout_duration = std::max<base::micros>(
         max_outdated_weights_age(this->context.settings) - first_load, first_load);
     for (const auto& id : weights::plan_loads(all, version, this->context.now(), rules)) {
         this->order(id, model, version);
@@ -202,7 +203,8 @@
 void weights_loader::drain(fleet::member& one, std::int64_t version) {
     const base::instant now = this->context.now();
     this->orders[one.listed.id] = {version, now, false, {}, now};
-    this->keep_away(one, std::chrono::ceil<base::milliseconds>(weights::drain_rules{}.longest));
+    this->keep_away(one,
+                    std::chrono::ceil<base::milliseconds>(weights::drain_rules{}.max_duration));
 }
 
 void weights_loader::order_the_drained(const base::model_id& model, std::int64_t version) {
--- a/src/replay/policy.cpp
+++ b/src/replay/policy.cpp
@@ -53,51 +53,51 @@
     policy made;
     made.name = "camphorrail";
     made.choose = [state](const question& asked) -> std::optional<chosen_engine> {
-        routing::candidate_request request{asked.chain, {}, !asked.passed_on};
+        routing::routing_request request{asked.chain, {}, !asked.passed_on};
         for (const std::size_t engine : asked.tried) {
-            request.exclude.push_back(state->names[asked.pool][engine]);
+            request.excluded.push_back(state->names[asked.pool][engine]);
         }
         auto& entry = state->entries[asked.entry];
         auto& pool = entry.pools[asked.pool];
-        const auto chosen =
-            routing::choose(pool, entry.affinity, request, asked.now, entry.random, state->rules);
+        const auto chosen = routing::choose_upstream(pool, entry.affinity, request, asked.now,
+                                                     entry.random, state->rules);
         if (!chosen) {
             return std::nullopt;
         }
-        chosen_engine made{chosen->index, chosen->probe, std::nullopt, chosen->basis};
+        chosen_engine made{chosen->index, chosen->is_probe, std::nullopt, chosen->basis};
         const auto& id = state->names[asked.pool][chosen->index];
-        if (const auto home = routing::home_to_tell(pool, entry.affinity, id, *asked.chain,
-                                                    asked.now, state->rules)) {
+        if (const auto home = routing::home_to_notify(pool, entry.affinity, id, *asked.chain,
+                                                      asked.now, state->rules)) {
             made.note = home_note{*home, routing::shared_level(*asked.chain)->key,
                                   pool.hashes[chosen->index]};
         }
-        routing::note_sent(pool, entry.affinity, *chosen, *asked.chain, asked.now);
+        routing::record_sent(pool, entry.affinity, *chosen, *asked.chain, asked.now);
         return made;
     };
     made.note_load = [state](const load_news& news) {
-        routing::note_load(state->pool_of(news.entry, news.pool),
-                           state->names[news.pool][news.engine], news.wait,
-                           news.prefill_us_per_token, news.incarnation, news.now);
+        routing::record_load(state->pool_of(news.entry, news.pool),
+                             state->names[news.pool][news.engine], news.wait,
+                             news.prefill_us_per_token, news.incarnation, news.now);
     };
     made.note_passed = [state](const passed_news& news) {
         auto& entry = state->entries[news.entry];
         for (const std::uint64_t holder : news.holders) {
-            routing::note_holder(entry.pools[news.pool], entry.affinity, news.level_key, holder,
-                                 news.now);
+            routing::record_reported_holder(entry.pools[news.pool], entry.affinity, news.level_key,
+                                            holder, news.now);
         }
     };
     made.note_served = [state](const served_news& news) {
         auto& entry = state->entries[news.entry];
         const auto& id = state->names[news.pool][news.engine];
         auto& pool = entry.pools[news.pool];
-        routing::note_served(pool, entry.affinity, id, *news.chain, news.basis, news.cached,
-                             news.now, state->rules);
+        routing::record_served(pool, entry.affinity, id, *news.chain, news.basis, news.cached,
+                               news.now, state->rules);
         membership::note_success(routing::find(pool, id)->health);
     };
     made.note_not_taken = [state](const question& asked, std::size_t engine) {
         auto& entry = state->entries[asked.entry];
-        routing::note_not_taken(entry.pools[asked.pool], entry.affinity,
-                                state->names[asked.pool][engine], *asked.chain);
+        routing::record_rejected(entry.pools[asked.pool], entry.affinity,
+                                 state->names[asked.pool][engine], *asked.chain);
     };
     made.note_failure = [state](const question& asked, std::size_t engine) {
         auto& pool = state->pool_of(asked.entry, asked.pool);
--- a/src/replay/policy.h
+++ b/src/replay/policy.h
@@ -61,7 +61,7 @@
     bool probe = false;
     std::optional<home_note> note = std::nullopt;
     // What the choice was expected by; comes back when the request is served.
-    routing::evidence basis = {};
+    routing::prediction_basis basis = {};
 };
 
 struct served_news {
@@ -69,7 +69,7 @@
     std::size_t pool = 0;
     std::size_t engine = 0;
     const prefix::prefix_chain* chain = nullptr;
-    routing::evidence basis;
+    routing::prediction_basis basis;
     base::tokens cached;
     base::instant now;
 };
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -23,8 +23,8 @@
     std::size_t engine = 0;
     std::int64_t incarnation = 0;
     bool probe = false;
-    routing::evidence basis;
-    routing::evidence agent_basis;
+    routing::prediction_basis basis;
+    routing::prediction_basis agent_basis;
     bool passed_on = false;
     bool done = false;
 };
@@ -232,7 +232,7 @@
         order.attempt = {std::to_string(item->number)};
         order.team = asked.team;
         order.priority = asked.priority;
-        const auto estimate = routing::expected_work(beside.view, asked.chain, this->now);
+        const auto estimate = routing::estimate_work(beside.view, asked.chain, this->now);
         order.work = estimate.work;
         order.target = item->arrived + asked.target;
         order.deadline = item->arrived + request_timeout;
@@ -248,7 +248,7 @@
         beside.waiting[order.attempt.value] = item;
         admission::push(beside.queue, order);
         item->agent_basis = estimate.basis;
-        routing::note_taken(beside.view, asked.chain, this->now);
+        routing::record_accepted(beside.view, asked.chain, this->now);
         this->pump(asked.pool, item->engine);
     }
 
@@ -257,9 +257,9 @@
         const request& asked = this->request_of(*item);
         const auto wait =
             admission::predicted_wait(beside.queue, asked.priority, this->engine_wait(beside));
-        const auto answer = routing::answer_probe(beside.view, beside.notes, asked.chain, wait,
-                                                  this->now, this->rules.probe);
-        if (!answer.pass_on) {
+        const auto answer = routing::evaluate_probe(beside.view, beside.notes, asked.chain, wait,
+                                                    this->now, this->rules.probe);
+        if (!answer.forward) {
             return false;
         }
         this->tell_load(item->entry, asked.pool, item->engine);
@@ -277,7 +277,7 @@
 
     void note_at_home(std::size_t pool, const home_note& note) {
         const routing::holder seen{note.holder, 0, this->now};
-        routing::remember(this->agents[pool][note.home].notes, note.level_key, seen);
+        routing::add_holder(this->agents[pool][note.home].notes, note.level_key, seen);
     }
 
     void pump(std::size_t pool, std::size_t index) {
@@ -339,8 +339,8 @@
         agent& beside = this->agents[asked.pool][item->engine];
         beside.prefilling.erase(item->number);
         store(engine, asked.chain);
-        routing::note_served(beside.view, asked.chain, item->agent_basis, cached, this->now - began,
-                             this->now);
+        routing::record_served(beside.view, asked.chain, item->agent_basis, cached,
+                               this->now - began, this->now);
         outcome& out = this->result.outcomes[item->number];
         out.prompt_tokens = asked.chain.back().length.value;
         out.cached_tokens = cached.value;
@@ -396,8 +396,8 @@
         this->after(item.back_after, [this, item] {
             engine_model& back = this->engines[item.pool][item.engine];
             come_back(back);
-            routing::note_engine(this->agents[item.pool][item.engine].view, back.incarnation,
-                                 this->now);
+            routing::record_incarnation(this->agents[item.pool][item.engine].view, back.incarnation,
+                                        this->now);
         });
     }
 
--- a/src/routing/affinity.cpp
+++ b/src/routing/affinity.cpp
@@ -9,7 +9,7 @@
     return found == table.by_key.end() ? nullptr : &*found->second;
 }
 
-void remember(affinity_table& table, std::uint64_t level_key, const holder& seen) {
+void add_holder(affinity_table& table, std::uint64_t level_key, const holder& seen) {
     const auto found = table.by_key.find(level_key);
     if (found != table.by_key.end()) {
         table.newest_first.splice(table.newest_first.begin(), table.newest_first, found->second);
@@ -34,7 +34,7 @@
     }
 }
 
-void forget(affinity_table& table, std::uint64_t level_key, std::uint64_t upstream) {
+void remove_holder(affinity_table& table, std::uint64_t level_key, std::uint64_t upstream) {
     const auto found = table.by_key.find(level_key);
     if (found == table.by_key.end()) {
         return;
--- a/src/routing/affinity.h
+++ b/src/routing/affinity.h
@@ -18,14 +18,14 @@
     base::instant last_used{};
 };
 
-inline constexpr std::size_t holders_a_level = 4;
+inline constexpr std::size_t holders_per_level = 4;
 
 // Which upstreams probably hold which prefix levels: a bounded memory of this entry's own traffic.
 // It is a hint and nothing more. A wrong one costs a miss; the engine's own cache decides.
 struct affinity_table {
     struct level_record {
         std::uint64_t key = 0;
-        std::array<holder, holders_a_level> holders{};
+        std::array<holder, holders_per_level> holders{};
     };
     std::size_t capacity = 50000;
     std::list<level_record> newest_first;
@@ -36,9 +36,9 @@
 const affinity_table::level_record* find(const affinity_table& table, std::uint64_t level_key);
 
 // An upstream has just served this level, and so holds it now.
-void remember(affinity_table& table, std::uint64_t level_key, const holder& seen);
+void add_holder(affinity_table& table, std::uint64_t level_key, const holder& seen);
 
 // An upstream turned out not to hold this level.
-void forget(affinity_table& table, std::uint64_t level_key, std::uint64_t upstream);
+void remove_holder(affinity_table& table, std::uint64_t level_key, std::uint64_t upstream);
 
 } // namespace camphorrail::routing
--- a/src/routing/engine_view_tests.cpp
+++ b/src/routing/engine_view_tests.cpp
@@ -8,23 +8,23 @@
     auto view = routing::make_engine_view({"pool-1"});
     const base::instant now{base::seconds(50)};
     const prefix::prefix_chain chain{{1, {4000}}, {2, {8000}}, {3, {8100}}};
-    routing::note_engine(view, 1, now);
-    const auto basis = routing::expected_work(view, chain, now).basis;
+    routing::record_incarnation(view, 1, now);
+    const auto basis = routing::estimate_work(view, chain, now).basis;
 
     SECTION("expects less work for a prefix that the engine keeps serving from its cache") {
-        const auto cold = routing::expected_work(view, chain, now).work;
+        const auto cold = routing::estimate_work(view, chain, now).work;
         for (int order = 0; order < 200; ++order) {
-            routing::note_served(view, chain, basis, {8000}, base::milliseconds(10), now);
+            routing::record_served(view, chain, basis, {8000}, base::milliseconds(10), now);
         }
-        CHECK(routing::expected_work(view, chain, now).work < cold / 4);
+        CHECK(routing::estimate_work(view, chain, now).work < cold / 4);
     }
 
     SECTION("learns the engine's speed from prefills long enough to tell") {
         for (int order = 0; order < 200; ++order) {
-            routing::note_served(view, chain, basis, {0}, base::micros(8100 * 40), now);
+            routing::record_served(view, chain, basis, {0}, base::micros(8100 * 40), now);
         }
         CHECK(view.prefill_us_per_token == Approx(40).epsilon(0.01));
-        routing::note_served(view, chain, basis, {8000}, base::seconds(9), now);
+        routing::record_served(view, chain, basis, {8000}, base::seconds(9), now);
         CHECK(view.prefill_us_per_token == Approx(40).epsilon(0.01));
     }
 }
--- a/src/routing/popularity.h
+++ b/src/routing/popularity.h
@@ -21,9 +21,9 @@
     count total;
 };
 
-void note_request(popularity& seen, std::uint64_t prefix, base::instant now);
+void record_request(popularity& seen, std::uint64_t prefix, base::instant now);
 
 // From 0 to 1. Entries behind one balancer see about the same shares without telling each other.
-double share_of(const popularity& seen, std::uint64_t prefix, base::instant now);
+double traffic_share(const popularity& seen, std::uint64_t prefix, base::instant now);
 
 } // namespace camphorrail::routing
--- a/src/routing/rendezvous.cpp
+++ b/src/routing/rendezvous.cpp
@@ -4,8 +4,8 @@
 
 namespace camphorrail::routing {
 
-std::vector<std::size_t> homes(const std::vector<std::uint64_t>& members, std::uint64_t key,
-                               std::size_t count) {
+std::vector<std::size_t> rank_members(const std::vector<std::uint64_t>& members, std::uint64_t key,
+                                      std::size_t count) {
     // `count` is two or three: an insertion into a short list beats sorting all members.
     std::vector<std::pair<std::uint64_t, std::size_t>> best;
     best.reserve(count + 1);
--- a/src/routing/rendezvous.h
+++ b/src/routing/rendezvous.h
@@ -18,7 +18,7 @@
 
 // The indexes of the `count` members with the highest scores, highest first. Equal scores go to the
 // lower index.
-std::vector<std::size_t> homes(const std::vector<std::uint64_t>& members, std::uint64_t key,
-                               std::size_t count);
+std::vector<std::size_t> rank_members(const std::vector<std::uint64_t>& members, std::uint64_t key,
+                                      std::size_t count);
 
 } // namespace camphorrail::routing
--- a/src/routing/rendezvous_tests.cpp
+++ b/src/routing/rendezvous_tests.cpp
@@ -21,7 +21,7 @@
         std::vector<int> load(members.size());
         constexpr int keys = 21000;
         for (int key = 0; key < keys; ++key) {
-            ++load[routing::homes(members, base::random_bits(random), 1).front()];
+            ++load[routing::rank_members(members, base::random_bits(random), 1).front()];
         }
         CHECK(*std::min_element(load.begin(), load.end()) > 850);
         CHECK(*std::max_element(load.begin(), load.end()) < 1150);
@@ -30,18 +30,18 @@
     SECTION("move only the keys of a member that went, each to its second home") {
         for (int round = 0; round < 1000; ++round) {
             const auto key = base::random_bits(random);
-            const auto before = routing::homes(members, key, 2);
+            const auto before = routing::rank_members(members, key, 2);
             auto fewer = members;
             fewer[7] = members.back();
             fewer.pop_back();
             const auto after =
                 members[before[0]] == members[7] ? members[before[1]] : members[before[0]];
-            CHECK(fewer[routing::homes(fewer, key, 1).front()] == after);
+            CHECK(fewer[routing::rank_members(fewer, key, 1).front()] == after);
         }
     }
 
     SECTION("are all members where fewer are there than asked for") {
-        CHECK(routing::homes({5, 6}, 1, 3).size() == 2);
-        CHECK(routing::homes({}, 1, 3).empty());
+        CHECK(routing::rank_members({5, 6}, 1, 3).size() == 2);
+        CHECK(routing::rank_members({}, 1, 3).empty());
     }
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -13,16 +13,16 @@
 constexpr double first_bucket_us = 62500;
 // Part of a level's own tokens that must have been cached for it to count as found: the engine's
 // blocks do not end where our levels do.
-constexpr double found_share = 0.5;
+constexpr double min_hit_fraction = 0.5;
 // A home is told again of a prefix it was told of this long ago: its note may have been let go.
-constexpr base::micros tell_again_after = base::seconds(5);
+constexpr base::micros notify_interval = base::seconds(5);
 
 std::size_t age_bucket(base::micros age) {
     const double units = static_cast<double>(age.count()) / first_bucket_us;
     if (units < 1) {
         return 0;
     }
-    return std::min(age_buckets - 1, static_cast<std::size_t>(std::log2(units)) + 1);
+    return std::min(age_bucket_count - 1, static_cast<std::size_t>(std::log2(units)) + 1);
 }
 
 const holder* find_holder(const affinity_table& table, std::uint64_t key,
@@ -46,22 +46,23 @@
 // itself, would put the agency's own long prefix into every engine's cache.
 using level_homes = std::vector<std::vector<std::size_t>>;
 
-std::size_t spread_of(const pool_view& pool, std::uint64_t key, base::instant now,
-                      const routing_rules& rules) {
+std::size_t home_count(const pool_view& pool, std::uint64_t key, base::instant now,
+                       const routing_rules& rules) {
     const double engines = static_cast<double>(pool.upstreams.size());
-    const double wanted = std::ceil(share_of(pool.seen, key, now) * engines * rules.spread);
-    const auto least = std::min(rules.least_spread, pool.upstreams.size());
+    const double wanted =
+        std::ceil(traffic_share(pool.prefix_popularity, key, now) * engines * rules.spread);
+    const auto least = std::min(rules.min_spread, pool.upstreams.size());
     return std::clamp(static_cast<std::size_t>(wanted), least, pool.upstreams.size());
 }
 
-std::vector<std::size_t> homes_among(const pool_view& pool, const std::vector<std::size_t>& set,
+std::vector<std::size_t> rank_within(const pool_view& pool, const std::vector<std::size_t>& set,
                                      std::uint64_t key) {
     std::vector<std::uint64_t> members;
     members.reserve(set.size());
     for (const std::size_t index : set) {
         members.push_back(pool.hashes[index]);
     }
-    std::vector<std::size_t> ranked = homes(members, key, homes_a_level);
+    std::vector<std::size_t> ranked = rank_members(members, key, homes_per_level);
     for (std::size_t& place : ranked) {
         place = set[place];
     }
@@ -76,12 +77,12 @@
     }
     found.reserve(chain.size());
     const std::uint64_t outermost = chain.front().key;
-    found.push_back(homes(pool.hashes, outermost, spread_of(pool, outermost, now, rules)));
+    found.push_back(rank_members(pool.hashes, outermost, home_count(pool, outermost, now, rules)));
     for (std::size_t level = 1; level < chain.size(); ++level) {
         // A prompt's own end is nobody else's and has no home but its shared prefix's.
-        const bool own_end = level + 1 == chain.size();
-        found.push_back(own_end ? found.back()
-                                : homes_among(pool, found.front(), chain[level].key));
+        const bool is_unshared_tail = level + 1 == chain.size();
+        found.push_back(is_unshared_tail ? found.back()
+                                         : rank_within(pool, found.front(), chain[level].key));
     }
     return found;
 }
@@ -91,17 +92,17 @@
     if (found == level.end()) {
         return 0;
     }
-    return std::min(homes_a_level, static_cast<std::size_t>(found - level.begin()) + 1);
+    return std::min(homes_per_level, static_cast<std::size_t>(found - level.begin()) + 1);
 }
 
-std::size_t depth_of(const prefix::prefix_chain& chain, std::size_t level) {
-    return std::min(depths - 1, chain.size() - 1 - level);
+std::size_t depth_from_end(const prefix::prefix_chain& chain, std::size_t level) {
+    return std::min(depth_count - 1, chain.size() - 1 - level);
 }
 
-evidence basis_of(const pool_view& pool, const affinity_table& table,
-                  const prefix::prefix_chain& chain, const level_homes& home_of, std::size_t index,
-                  base::instant now) {
-    evidence basis;
+prediction_basis prediction_basis_of(const pool_view& pool, const affinity_table& table,
+                                     const prefix::prefix_chain& chain, const level_homes& home_of,
+                                     std::size_t index, base::instant now) {
+    prediction_basis basis;
     for (std::size_t level = 0; level < chain.size(); ++level) {
         const holder* hint = find_holder(table, chain[level].key, pool.upstreams[index]);
         basis.push_back({hint != nullptr, hint != nullptr ? age_bucket(now - hint->last_used)
@@ -120,7 +121,7 @@
         const holder* hint = find_holder(table, chain[level].key, pool.upstreams[index]);
         const double likely = hint != nullptr
                                   ? pool.hint_priors[age_bucket(now - hint->last_used)].rate
-                                  : pool.home_priors[depth_of(chain, level)]
+                                  : pool.home_priors[depth_from_end(chain, level)]
                                         .by_rank[home_rank(home_of[level], index)]
                                         .rate;
         deeper = std::max(deeper, likely);
@@ -134,7 +135,8 @@
                            const routing_rules& rules) {
     // The reported backlog is worked off while the report ages.
     const base::micros since = now - view.reported_at;
-    base::micros wait = std::max(base::micros{0}, view.reported_wait + view.sent_since - since);
+    base::micros wait =
+        std::max(base::micros{0}, view.reported_wait + view.unreported_work - since);
     const double cold = 1.0 - membership::warmth(view.health, now, rules.health);
     wait += base::micros(
         static_cast<std::int64_t>(cold * static_cast<double>(rules.slow_start_wait.count())));
@@ -178,15 +180,15 @@
     return candidates;
 }
 
-bool excluded(const candidate_request& request, const upstream_view& view) {
-    return std::find(request.exclude.begin(), request.exclude.end(), view.id) !=
-           request.exclude.end();
+bool excluded(const routing_request& request, const upstream_view& view) {
+    return std::find(request.excluded.begin(), request.excluded.end(), view.id) !=
+           request.excluded.end();
 }
 
-std::optional<choice> best_of(const pool_view& pool, const affinity_table& table,
-                              const candidate_request& request, const level_homes& home_of,
-                              const std::vector<std::size_t>& candidates, base::instant now,
-                              const routing_rules& rules) {
+std::optional<choice> cheapest(const pool_view& pool, const affinity_table& table,
+                               const routing_request& request, const level_homes& home_of,
+                               const std::vector<std::size_t>& candidates, base::instant now,
+                               const routing_rules& rules) {
     std::optional<choice> best;
     double best_cost = 0;
     const std::int64_t length = request.chain->empty() ? 0 : request.chain->back().length.value;
@@ -207,7 +209,7 @@
         }
     }
     if (best) {
-        best->basis = basis_of(pool, table, *request.chain, home_of, best->index, now);
+        best->basis = prediction_basis_of(pool, table, *request.chain, home_of, best->index, now);
     }
     return best;
 }
@@ -219,23 +221,24 @@
 }
 
 // The home of a shared prefix that this entry knows no holder of.
-std::optional<choice> probe_of(const pool_view& pool, const affinity_table& table,
-                               const candidate_request& request, const level_homes& home_of,
-                               base::instant now, const routing_rules& rules) {
+std::optional<choice> probe_home_upstream(const pool_view& pool, const affinity_table& table,
+                                          const routing_request& request,
+                                          const level_homes& home_of, base::instant now,
+                                          const routing_rules& rules) {
     const prefix::prefix_level* shared = shared_level(*request.chain);
     if (shared == nullptr ||
         (find(table, shared->key) != nullptr && has_holder(pool, table, shared->key))) {
         return std::nullopt;
     }
     const std::size_t index = home_of[request.chain->size() - 2].front();
-    auto home = best_of(pool, table, request, home_of, {index}, now, rules);
+    auto home = cheapest(pool, table, request, home_of, {index}, now, rules);
     if (home) {
-        home->probe = true;
+        home->is_probe = true;
     }
     return home;
 }
 
-void learn(hit_prior& prior, bool hit, double step) {
+void update_estimate(hit_estimate& prior, bool hit, double step) {
     prior.rate += step * ((hit ? 1.0 : 0.0) - prior.rate);
 }
 
@@ -262,20 +265,20 @@
     }
 }
 
-std::optional<choice> choose(const pool_view& pool, const affinity_table& table,
-                             const candidate_request& request, base::instant now,
-                             base::random_source& random, const routing_rules& rules) {
+std::optional<choice> choose_upstream(const pool_view& pool, const affinity_table& table,
+                                      const routing_request& request, base::instant now,
+                                      base::random_source& random, const routing_rules& rules) {
     if (pool.upstreams.empty()) {
         return std::nullopt;
     }
     const level_homes home_of = find_homes(pool, *request.chain, now, rules);
     if (request.probe_home) {
-        if (auto home = probe_of(pool, table, request, home_of, now, rules)) {
+        if (auto home = probe_home_upstream(pool, table, request, home_of, now, rules)) {
             return home;
         }
     }
     const auto candidates = find_candidates(pool, table, *request.chain, home_of, random, rules);
-    if (auto best = best_of(pool, table, request, home_of, candidates, now, rules)) {
+    if (auto best = cheapest(pool, table, request, home_of, candidates, now, rules)) {
         return best;
     }
     // All candidates are out or were tried. Any other upstream is better than a refusal.
@@ -283,33 +286,33 @@
     for (std::size_t index = 0; index < all.size(); ++index) {
         all[index] = index;
     }
-    return best_of(pool, table, request, home_of, all, now, rules);
+    return cheapest(pool, table, request, home_of, all, now, rules);
 }
 
-void note_sent(pool_view& pool, affinity_table& table, const choice& made,
-               const prefix::prefix_chain& chain, base::instant now) {
+void record_sent(pool_view& pool, affinity_table& table, const choice& made,
+                 const prefix::prefix_chain& chain, base::instant now) {
     const upstream_view& view = pool.upstreams[made.index];
     for (std::size_t level = 0; level + 1 < chain.size(); ++level) {
-        remember(table, chain[level].key, {view.hash, view.health.engine_incarnation, now});
+        add_holder(table, chain[level].key, {view.hash, view.health.engine_incarnation, now});
     }
     if (!chain.empty()) {
-        note_request(pool.seen, chain.front().key, now);
+        record_request(pool.prefix_popularity, chain.front().key, now);
     }
-    pool.upstreams[made.index].sent_since += made.expected_prefill;
+    pool.upstreams[made.index].unreported_work += made.expected_prefill;
 }
 
-void note_not_taken(const pool_view& pool, affinity_table& table, const base::upstream_id& id,
-                    const prefix::prefix_chain& chain) {
+void record_rejected(const pool_view& pool, affinity_table& table, const base::upstream_id& id,
+                     const prefix::prefix_chain& chain) {
     const prefix::prefix_level* shared = shared_level(chain);
     for (const upstream_view& view : pool.upstreams) {
         if (shared != nullptr && view.id == id) {
-            forget(table, shared->key, view.hash);
+            remove_holder(table, shared->key, view.hash);
         }
     }
 }
 
-void note_load(pool_view& pool, const base::upstream_id& id, base::micros wait,
-               double prefill_us_per_token, std::int64_t engine_incarnation, base::instant now) {
+void record_load(pool_view& pool, const base::upstream_id& id, base::micros wait,
+                 double prefill_us_per_token, std::int64_t engine_incarnation, base::instant now) {
     upstream_view* view = find(pool, id);
     if (view == nullptr) {
         return;
@@ -317,15 +320,15 @@
     membership::note_engine(view->health, engine_incarnation, now);
     view->reported_wait = wait;
     view->reported_at = now;
-    view->sent_since = base::micros{0};
+    view->unreported_work = base::micros{0};
     if (prefill_us_per_token > 0) {
         view->prefill_us_per_token = prefill_us_per_token;
     }
 }
 
-void note_served(pool_view& pool, affinity_table& table, const base::upstream_id& id,
-                 const prefix::prefix_chain& chain, const evidence& basis, base::tokens cached,
-                 base::instant now, const routing_rules& rules) {
+void record_served(pool_view& pool, affinity_table& table, const base::upstream_id& id,
+                   const prefix::prefix_chain& chain, const prediction_basis& basis,
+                   base::tokens cached, base::instant now, const routing_rules& rules) {
     const upstream_view* view = find(pool, id);
     if (view == nullptr) {
         return;
@@ -333,26 +336,27 @@
     for (std::size_t level = 0; level < std::min(chain.size(), basis.size()); ++level) {
         const std::int64_t below = level == 0 ? 0 : chain[level - 1].length.value;
         const bool hit = static_cast<double>(cached.value - below) >=
-                         found_share * static_cast<double>(chain[level].length.value - below);
+                         min_hit_fraction * static_cast<double>(chain[level].length.value - below);
         const level_basis& by = basis[level];
-        learn(by.hint ? pool.hint_priors[by.place]
-                      : pool.home_priors[depth_of(chain, level)].by_rank[by.place],
-              hit, rules.prior_step);
+        update_estimate(by.from_hint
+                            ? pool.hint_priors[by.index]
+                            : pool.home_priors[depth_from_end(chain, level)].by_rank[by.index],
+                        hit, rules.learning_rate);
     }
     for (const auto& level : chain) {
-        remember(table, level.key, {view->hash, view->health.engine_incarnation, now});
+        add_holder(table, level.key, {view->hash, view->health.engine_incarnation, now});
     }
 }
 
-double hint_rate(const pool_view& pool, base::micros age) {
+double hint_hit_rate(const pool_view& pool, base::micros age) {
     return pool.hint_priors[age_bucket(age)].rate;
 }
 
-void note_holder(const pool_view& pool, affinity_table& table, std::uint64_t level_key,
-                 std::uint64_t upstream, base::instant now) {
+void record_reported_holder(const pool_view& pool, affinity_table& table, std::uint64_t level_key,
+                            std::uint64_t upstream, base::instant now) {
     for (const upstream_view& view : pool.upstreams) {
         if (view.hash == upstream) {
-            remember(table, level_key, {upstream, view.health.engine_incarnation, now});
+            add_holder(table, level_key, {upstream, view.health.engine_incarnation, now});
         }
     }
 }
@@ -361,10 +365,10 @@
     return chain.size() < 2 ? nullptr : &chain[chain.size() - 2];
 }
 
-std::optional<std::size_t> home_to_tell(const pool_view& pool, const affinity_table& table,
-                                        const base::upstream_id& chosen,
-                                        const prefix::prefix_chain& chain, base::instant now,
-                                        const routing_rules& rules) {
+std::optional<std::size_t> home_to_notify(const pool_view& pool, const affinity_table& table,
+                                          const base::upstream_id& chosen,
+                                          const prefix::prefix_chain& chain, base::instant now,
+                                          const routing_rules& rules) {
     const prefix::prefix_level* shared = shared_level(chain);
     if (shared == nullptr || pool.hashes.empty()) {
         return std::nullopt;
@@ -375,7 +379,7 @@
     }
     for (const upstream_view& view : pool.upstreams) {
         const holder* hint = view.id == chosen ? find_holder(table, shared->key, view) : nullptr;
-        if (hint != nullptr && now - hint->last_used < tell_again_after) {
+        if (hint != nullptr && now - hint->last_used < notify_interval) {
             return std::nullopt;
         }
     }
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -27,26 +27,26 @@
     double prefill_us_per_token = 100;
     base::instant reported_at{};
     // Work that this entry sent since that report and that the report can't include.
-    base::micros sent_since{0};
+    base::micros unreported_work{0};
 };
 
 // How often a prefix was found where it was expected. Learnt from finished requests.
-struct hit_prior {
+struct hit_estimate {
     double rate = 0.9;
 };
 
-inline constexpr std::size_t homes_a_level = 3;
+inline constexpr std::size_t homes_per_level = 3;
 // Levels from the end of a prompt that are told apart: its own request, what is shared with a few
 // others, what is shared with many.
-inline constexpr std::size_t depths = 4;
+inline constexpr std::size_t depth_count = 4;
 
 // Index 0 is for upstreams that are not among a level's homes. At the start each entry takes it
 // that the others send a prefix to its first home, which makes it so.
 struct rank_priors {
-    std::array<hit_prior, homes_a_level + 1> by_rank{{{0.02}, {0.8}, {0.3}, {0.1}}};
+    std::array<hit_estimate, homes_per_level + 1> by_rank{{{0.02}, {0.8}, {0.3}, {0.1}}};
 };
 
-inline constexpr std::size_t age_buckets = 12;
+inline constexpr std::size_t age_bucket_count = 12;
 
 // Tunables of the policy; docs/MEASUREMENTS.md says which run chose them.
 struct routing_rules {
@@ -55,12 +55,12 @@
     double recompute_weight = 2.0;
     // Engines that a widely shared prefix is spread over, for each engine's worth of its traffic.
     double spread = 3.0;
-    std::size_t least_spread = 1;
+    std::size_t min_spread = 1;
     // Wait added to an engine that has just come back empty, so that not all entries rush to it.
     base::micros slow_start_wait = base::milliseconds(100);
     // Random upstreams looked at beside the candidates by prefix.
     std::size_t random_choices = 2;
-    double prior_step = 0.01;
+    double learning_rate = 0.01;
     membership::health_rules health;
 };
 
@@ -69,18 +69,18 @@
     std::vector<upstream_view> upstreams;
     std::vector<std::uint64_t> hashes;
     // By age of the hint, in powers of two of 62.5 ms.
-    std::array<hit_prior, age_buckets> hint_priors;
+    std::array<hit_estimate, age_bucket_count> hint_priors;
     // Where no hint is at hand: by how far a level is from the end of its prompt, and by the
     // upstream's rank among the level's homes.
-    std::array<rank_priors, depths> home_priors;
+    std::array<rank_priors, depth_count> home_priors;
     // Of the prompts' outermost levels.
-    popularity seen;
+    popularity prefix_popularity;
 };
 
-struct candidate_request {
+struct routing_request {
     const prefix::prefix_chain* chain = nullptr;
     // Upstreams tried already; they are not chosen again.
-    std::vector<base::upstream_id> exclude;
+    std::vector<base::upstream_id> excluded;
     // Whether a prompt whose shared prefix this entry has not seen goes to that prefix's home
     // first, where it is known who holds it. False once the home has passed the request on.
     bool probe_home = true;
@@ -89,17 +89,17 @@
 // What a level was expected by when its request was sent. What becomes of the request is learnt
 // against this and not against what is known later, which the request itself has changed.
 struct level_basis {
-    bool hint = false;
+    bool from_hint = false;
     // The hint's age bucket, or the upstream's rank among the level's homes.
-    std::size_t place = 0;
+    std::size_t index = 0;
 };
-using evidence = std::vector<level_basis>;
+using prediction_basis = std::vector<level_basis>;
 
 struct choice {
     std::size_t index = 0;
-    evidence basis;
+    prediction_basis basis;
     // The home is asked and may pass the request on.
-    bool probe = false;
+    bool is_probe = false;
     base::tokens expected_cached;
     base::micros expected_wait{0};
     base::micros expected_prefill{0};
@@ -110,26 +110,26 @@
                  const std::vector<base::availability_zone>& zones);
 
 // The upstream for a request, or nothing when none may be used.
-std::optional<choice> choose(const pool_view& pool, const affinity_table& table,
-                             const candidate_request& request, base::instant now,
-                             base::random_source& random, const routing_rules& rules);
+std::optional<choice> choose_upstream(const pool_view& pool, const affinity_table& table,
+                                      const routing_request& request, base::instant now,
+                                      base::random_source& random, const routing_rules& rules);
 
 // The request has left for the chosen upstream, which will hold its shared levels from now on:
 // others that follow while the first one is still being computed must go there too.
-void note_sent(pool_view& pool, affinity_table& table, const choice& made,
-               const prefix::prefix_chain& chain, base::instant now);
+void record_sent(pool_view& pool, affinity_table& table, const choice& made,
+                 const prefix::prefix_chain& chain, base::instant now);
 
 // The upstream did not take the request.
-void note_not_taken(const pool_view& pool, affinity_table& table, const base::upstream_id& id,
-                    const prefix::prefix_chain& chain);
+void record_rejected(const pool_view& pool, affinity_table& table, const base::upstream_id& id,
+                     const prefix::prefix_chain& chain);
 
 // A load report has come; `wait` is what its agent predicts for a new order.
-void note_load(pool_view& pool, const base::upstream_id& id, base::micros wait,
-               double prefill_us_per_token, std::int64_t engine_incarnation, base::instant now);
+void record_load(pool_view& pool, const base::upstream_id& id, base::micros wait,
+                 double prefill_us_per_token, std::int64_t engine_incarnation, base::instant now);
 
 // Another upstream is said to hold a level; `upstream` is its hash.
-void note_holder(const pool_view& pool, affinity_table& table, std::uint64_t level_key,
-                 std::uint64_t upstream, base::instant now);
+void record_reported_holder(const pool_view& pool, affinity_table& table, std::uint64_t level_key,
+                            std::uint64_t upstream, base::instant now);
 
 // The deepest level that other prompts may share: all but the prompt's own end.
 const prefix::prefix_level* shared_level(const prefix::prefix_chain& chain);
@@ -137,18 +137,18 @@
 // The upstream to tell that a request goes elsewhere, or nothing if that is not worth a message:
 // its shared prefix's home, which passes later requests on to where the prefix is. To be asked
 // before the request is noted as sent.
-std::optional<std::size_t> home_to_tell(const pool_view& pool, const affinity_table& table,
-                                        const base::upstream_id& chosen,
-                                        const prefix::prefix_chain& chain, base::instant now,
-                                        const routing_rules& rules);
+std::optional<std::size_t> home_to_notify(const pool_view& pool, const affinity_table& table,
+                                          const base::upstream_id& chosen,
+                                          const prefix::prefix_chain& chain, base::instant now,
+                                          const routing_rules& rules);
 
 // The request was served there with `cached` of its prompt's tokens found in the cache.
-void note_served(pool_view& pool, affinity_table& table, const base::upstream_id& id,
-                 const prefix::prefix_chain& chain, const evidence& basis, base::tokens cached,
-                 base::instant now, const routing_rules& rules);
+void record_served(pool_view& pool, affinity_table& table, const base::upstream_id& id,
+                   const prefix::prefix_chain& chain, const prediction_basis& basis,
+                   base::tokens cached, base::instant now, const routing_rules& rules);
 
 // How often a hint of this age was right.
-double hint_rate(const pool_view& pool, base::micros age);
+double hint_hit_rate(const pool_view& pool, base::micros age);
 
 upstream_view* find(pool_view& pool, const base::upstream_id& id);
 
--- a/src/routing/router_tests.cpp
+++ b/src/routing/router_tests.cpp
@@ -23,7 +23,7 @@
 
 void report(routing::pool_view& pool, std::size_t index, base::micros wait, base::instant now,
             std::int64_t life = 1) {
-    routing::note_load(pool, pool.upstreams[index].id, wait, prefill_us, life, now);
+    routing::record_load(pool, pool.upstreams[index].id, wait, prefill_us, life, now);
 }
 
 } // namespace
@@ -38,14 +38,14 @@
     for (std::size_t index = 0; index < pool.upstreams.size(); ++index) {
         report(pool, index, base::micros{0}, now);
     }
-    const auto pick = [&](const routing::candidate_request& request, base::instant when) {
-        return routing::choose(pool, table, request, when, random, rules);
+    const auto pick = [&](const routing::routing_request& request, base::instant when) {
+        return routing::choose_upstream(pool, table, request, when, random, rules);
     };
     const auto first = pick({&chain}, now);
     REQUIRE(first);
     const auto home = first->index;
-    routing::note_served(pool, table, pool.upstreams[home].id, chain, first->basis, {0}, now,
-                         rules);
+    routing::record_served(pool, table, pool.upstreams[home].id, chain, first->basis, {0}, now,
+                           rules);
 
     SECTION("goes back to where the prefix was served") {
         CHECK(pick({&chain}, now)->index == home);
@@ -70,14 +70,14 @@
     }
 
     SECTION("never picks one that leaves, is ejected or was tried, and says so when none is left") {
-        routing::candidate_request request{&chain};
+        routing::routing_request request{&chain};
         for (auto& view : pool.upstreams) {
             if (&view != &pool.upstreams[3]) {
                 view.health.leaving = true;
             }
         }
         CHECK(pick(request, now)->index == 3);
-        request.exclude.push_back(pool.upstreams[3].id);
+        request.excluded.push_back(pool.upstreams[3].id);
         CHECK_FALSE(pick(request, now));
     }
 
--- a/src/weights/drain.h
+++ b/src/weights/drain.h
@@ -7,22 +7,22 @@
 namespace camphorrail::weights {
 
 // An upstream that is about to change its weights and gets nothing new any more.
-struct draining {
+struct drain_progress {
     // For how long it has been getting nothing new.
-    base::micros span{0};
+    base::micros elapsed{0};
     // Calls under way there that would be lost if it cut them off.
-    std::int64_t unrepeatable = 0;
+    std::int64_t non_retryable = 0;
 };
 
 struct drain_rules {
     // Most of what takes about as long as a prompt's reading ends within this time.
-    base::micros usual = base::milliseconds(400);
+    base::micros min_duration = base::milliseconds(400);
     // Calls that may not be cut off are waited for up to this time; from then on the upstream
     // itself finishes them before it changes.
-    base::micros longest = base::milliseconds(1200);
+    base::micros max_duration = base::milliseconds(1200);
     // From this part of their slots on, the upstreams that go on serving can't take over what one
     // of them cuts off.
-    double crowded_part = 0.5;
+    double crowded_utilization = 0.5;
 };
 
 // Whether the change may be ordered now.
@@ -30,7 +30,7 @@
 // Answers that may go on elsewhere are not waited for. They take several seconds, and an upstream
 // that finishes them serves nobody else meanwhile: a pool that has lost some of its upstreams would
 // lose a third of the rest for as long as the new weights go through it.
-bool is_drained(const draining& one, const drain_rules& rules);
+bool is_drained(const drain_progress& one, const drain_rules& rules);
 
 // A pool of which one upstream is about to change its weights.
 struct pool_load {
--- a/src/weights/drain_tests.cpp
+++ b/src/weights/drain_tests.cpp
@@ -19,7 +19,7 @@
 
 // What is left of a pool after a loss, under load: answers of three and a half seconds that may go
 // on at another upstream, and calls of one second that may not.
-struct loaded_pool {
+struct simulated_pool {
     static constexpr int step_ms = 20;
     static constexpr int answer_ms = 3400;
     static constexpr int call_ms = 1000;
@@ -35,17 +35,17 @@
     };
 
     std::vector<upstream> all;
-    int moved_answers = 0;
+    int moved_responses = 0;
     // Requests that came to an upstream whose slots were all taken.
-    int waited = 0;
+    int delayed_requests = 0;
     int answers = 0;
-    int answers_a_second = 0;
+    int responses_per_second = 0;
     std::size_t fewest_serving = 0;
     int next_answer = 0;
     int next_call = 0;
 
-    loaded_pool(std::size_t count, int answers_a_second)
-        : all(count), answers_a_second(answers_a_second), fewest_serving(count) {
+    simulated_pool(std::size_t count, int responses_per_second)
+        : all(count), responses_per_second(responses_per_second), fewest_serving(count) {
         for (std::size_t each = 0; each < count; ++each) {
             this->all[each].seen.id = {"e" + std::to_string(10 + each)};
             this->all[each].seen.version = 1;
@@ -66,11 +66,11 @@
 
     upstream& least_busy() {
         auto& found = *std::min_element(this->all.begin(), this->all.end(), is_less_busy);
-        this->waited += work_of(found) >= slots ? 1 : 0;
+        this->delayed_requests += work_of(found) >= slots ? 1 : 0;
         return found;
     }
 
-    [[nodiscard]] weights::pool_load load_beside(const upstream& changing) const {
+    [[nodiscard]] weights::pool_load load_without(const upstream& changing) const {
         weights::pool_load found;
         for (const auto& each : this->all) {
             found.in_flight += static_cast<std::int64_t>(work_of(each));
@@ -82,7 +82,7 @@
 
     // 60 calls a second beside the answers.
     void take_requests(int now) {
-        for (; this->next_answer <= now * this->answers_a_second / 1000; ++this->next_answer) {
+        for (; this->next_answer <= now * this->responses_per_second / 1000; ++this->next_answer) {
             this->least_busy().answers_end.push_back(now + answer_ms);
             ++this->answers;
         }
@@ -109,7 +109,7 @@
         if (one.calls_end.empty()) {
             for (const int end : std::exchange(one.answers_end, {})) {
                 this->least_busy().answers_end.push_back(end);
-                ++this->moved_answers;
+                ++this->moved_responses;
             }
         }
         // What is not cut off is finished first.
@@ -145,7 +145,7 @@
             const auto found = std::find_if(this->all.begin(), this->all.end(),
                                             [&id](const auto& one) { return one.seen.id == id; });
             found->seen.loading = true;
-            if (weights::is_crowded(this->load_beside(*found), {})) {
+            if (weights::is_crowded(this->load_without(*found), {})) {
                 found->changed_at = now + load_ms;
             } else {
                 found->drained_since = now;
@@ -157,14 +157,14 @@
     }
 
     // Plays until all hold the second version, and gives how long that took after it was named.
-    int run(int named_ms) {
+    int run(int published_ms) {
         constexpr int longest_ms = 60'000;
         for (int now = 0; now < longest_ms; now += step_ms) {
-            this->step(now, now >= named_ms);
+            this->step(now, now >= published_ms);
             const bool done = std::all_of(this->all.begin(), this->all.end(),
                                           [](const auto& one) { return one.seen.version == 2; });
             if (done) {
-                return now - named_ms;
+                return now - published_ms;
             }
         }
         return longest_ms;
@@ -191,22 +191,22 @@
 TEST_CASE("new weights go through a loaded pool before the old ones are outdated for too long",
           "[weights]") {
     constexpr int bound_ms = 10'000;
-    loaded_pool pool(17, 80);
+    simulated_pool pool(17, 80);
     CHECK(pool.run(6000) < bound_ms);
 
     SECTION("while two in three upstreams serve") {
         CHECK(pool.fewest_serving * 3 >= pool.all.size() * 2);
     }
     SECTION("and fewer than half of the answers have to go on elsewhere") {
-        CHECK(pool.moved_answers < pool.answers / 2);
+        CHECK(pool.moved_responses < pool.answers / 2);
     }
 }
 
 // The failure: upstreams of a pool that has hardly any slots left are drained one after the other,
 // and what they cut off and what comes meanwhile waits at the rest.
 TEST_CASE("nobody waits for a slot while new weights go through a crowded pool", "[weights]") {
-    loaded_pool pool(17, 175);
+    simulated_pool pool(17, 175);
     CHECK(pool.run(6000) < 10'000);
-    CHECK(pool.waited == 0);
-    CHECK(pool.moved_answers == 0);
+    CHECK(pool.delayed_requests == 0);
+    CHECK(pool.moved_responses == 0);
 }
--- a/src/weights/load_plan.cpp
+++ b/src/weights/load_plan.cpp
@@ -11,24 +11,24 @@
 
 // Upstreams that serve nobody cost nobody anything while they change, but many loads at once slow
 // each other.
-constexpr std::size_t unused_at_once = 2;
+constexpr std::size_t unused_loading_factor = 2;
 
-struct lane_load {
+struct lane_state {
     std::size_t all = 0;
     std::size_t loading = 0;
     base::micros change_time{0};
 
     [[nodiscard]] std::size_t most(const load_rules& rules) const {
-        const double part = std::ceil(rules.in_change * static_cast<double>(this->all));
+        const double part = std::ceil(rules.max_loading_share * static_cast<double>(this->all));
         const double needed = std::ceil(static_cast<double>(this->change_time.count()) /
-                                        static_cast<double>(rules.within.count()));
+                                        static_cast<double>(rules.rollout_duration.count()));
         return std::max<std::size_t>(1, static_cast<std::size_t>(std::max(part, needed)));
     }
 };
 
-bool is_open(const load_candidate& one, std::int64_t version, base::instant now,
-             const load_rules& rules) {
-    const bool rested = one.unused || now - one.loaded_at >= rules.rest;
+bool can_load(const load_candidate& one, std::int64_t version, base::instant now,
+              const load_rules& rules) {
+    const bool rested = one.out_of_service || now - one.loaded_at >= rules.cooldown;
     return one.version < version && !one.loading && !one.suspected && rested;
 }
 
@@ -37,14 +37,14 @@
 std::vector<base::upstream_id> plan_loads(const std::vector<load_candidate>& all,
                                           std::int64_t version, base::instant now,
                                           const load_rules& rules) {
-    std::map<int, lane_load> lanes;
+    std::map<int, lane_state> lanes;
     std::vector<const load_candidate*> open;
     for (const auto& each : all) {
         auto& lane = lanes[each.lane];
         ++lane.all;
         lane.loading += each.loading ? 1 : 0;
-        lane.change_time += each.change_time;
-        if (is_open(each, version, now, rules)) {
+        lane.change_time += each.load_duration;
+        if (can_load(each, version, now, rules)) {
             open.push_back(&each);
         }
     }
@@ -55,7 +55,7 @@
     std::vector<base::upstream_id> chosen;
     for (const auto* each : open) {
         auto& lane = lanes.at(each->lane);
-        if (lane.loading < lane.most(rules) * (each->unused ? unused_at_once : 1)) {
+        if (lane.loading < lane.most(rules) * (each->out_of_service ? unused_loading_factor : 1)) {
             ++lane.loading;
             chosen.push_back(each->id);
         }
--- a/src/weights/load_plan.h
+++ b/src/weights/load_plan.h
@@ -20,9 +20,9 @@
     // Upstreams of one lane serve one kind of request; each lane gets its part of the new ones.
     int lane = 0;
     // How long a change takes it out, as far as is known.
-    base::micros change_time = base::milliseconds(1500);
+    base::micros load_duration = base::milliseconds(1500);
     // No request goes there any more, since its weights are outdated for too long.
-    bool unused = false;
+    bool out_of_service = false;
     // An order was sent and is not carried out yet.
     bool loading = false;
     // It can't be reached, or has failed lately.
@@ -33,13 +33,13 @@
     // Part of a lane that may be in change at once. A change takes an upstream out for about a
     // second, and then it reads each of its prompts anew, which takes three times as long as usual.
     // With half of a lane in change the rest fell behind, and callers gave up.
-    double in_change = 0.2;
+    double max_loading_share = 0.2;
     // A version goes through a lane within this time, with more in change at once if need be: after
     // it, outdated upstreams serve nobody, and the others would have to bear all.
-    base::micros within = base::seconds(6);
+    base::micros rollout_duration = base::seconds(6);
     // An upstream that has changed bears load for so long before the next change: where versions
     // follow each other within seconds, one is skipped, and a load saved.
-    base::micros rest = base::seconds(6);
+    base::micros cooldown = base::seconds(6);
 };
 
 // The upstreams that are to be ordered now to load the version: those with the oldest weights
--- a/src/weights/load_plan_tests.cpp
+++ b/src/weights/load_plan_tests.cpp
@@ -77,7 +77,7 @@
     // The operators' bound leaves little time, or a change takes long.
     SECTION("more where the time would not suffice") {
         for (auto& each : all) {
-            each.change_time = base::milliseconds(2400);
+            each.load_duration = base::milliseconds(2400);
         }
         CHECK(weights::plan_loads(all, 2, at(10000), rules).size() == 8);
     }
@@ -97,7 +97,7 @@
     }
     SECTION("more at a time of those that serve nobody any more") {
         for (auto& each : all) {
-            each.unused = true;
+            each.out_of_service = true;
         }
         CHECK(weights::plan_loads(all, 2, at(10000), rules).size() == 10);
     }
--- a/src/weights/term.cpp
+++ b/src/weights/term.cpp
@@ -4,26 +4,26 @@
 
 namespace camphorrail::weights {
 
-term begin_term(std::int64_t fence, std::int64_t lease, const last_orderer& before,
+term begin_term(std::int64_t fence, std::int64_t lease, const last_order_issuer& before,
                 base::instant asked, base::instant won, const term_rules& rules) {
     term begun;
-    begun.fence = fence;
-    begun.lease = lease;
-    begun.from = won;
-    if (before.other) {
-        const base::instant ended = before.seen_ended.value_or(won);
-        begun.from = std::max(won, ended + rules.apart);
+    begun.fencing_token = fence;
+    begun.lease_id = lease;
+    begun.valid_from = won;
+    if (before.is_other_process) {
+        const base::instant ended = before.ended_at.value_or(won);
+        begun.valid_from = std::max(won, ended + rules.handover_gap);
     }
-    begun.until = asked + rules.lease - rules.margin;
+    begun.valid_until = asked + rules.lease_duration - rules.margin;
     return begun;
 }
 
-void renew(term& held, base::instant asked, const term_rules& rules) {
-    held.until = std::max(held.until, asked + rules.lease - rules.margin);
+void renew_term(term& held, base::instant asked, const term_rules& rules) {
+    held.valid_until = std::max(held.valid_until, asked + rules.lease_duration - rules.margin);
 }
 
-bool may_order(const term& held, base::instant now) {
-    return held.fence > 0 && now >= held.from && now < held.until;
+bool may_issue_orders(const term& held, base::instant now) {
+    return held.fencing_token > 0 && now >= held.valid_from && now < held.valid_until;
 }
 
 } // namespace camphorrail::weights
--- a/src/weights/term_tests.cpp
+++ b/src/weights/term_tests.cpp
@@ -18,24 +18,25 @@
 TEST_CASE("two holders never order within the bound", "[weights]") {
     const weights::term_rules rules;
     auto first = weights::begin_term(7, 1, {}, at(0), at(10), rules);
-    CHECK(weights::may_order(first, at(10)));
-    weights::renew(first, at(1000), rules);
-    CHECK(weights::may_order(first, at(3599)));
+    CHECK(weights::may_issue_orders(first, at(10)));
+    weights::renew_term(first, at(1000), rules);
+    CHECK(weights::may_issue_orders(first, at(3599)));
 
     SECTION("since the first stops by its own clock before its lease can have ended") {
-        CHECK_FALSE(weights::may_order(first, at(3600)));
-        weights::renew(first, at(500), rules);
-        CHECK_FALSE(weights::may_order(first, at(3600)));
+        CHECK_FALSE(weights::may_issue_orders(first, at(3600)));
+        weights::renew_term(first, at(500), rules);
+        CHECK_FALSE(weights::may_issue_orders(first, at(3600)));
     }
     SECTION("and the second waits after it has won") {
-        const auto second = weights::begin_term(9, 2, {.other = true}, at(4000), at(4010), rules);
-        CHECK_FALSE(weights::may_order(second, at(7000)));
-        const auto gap = second.from - at(3600);
-        CHECK(gap >= rules.apart);
+        const auto second =
+            weights::begin_term(9, 2, {.is_other_process = true}, at(4000), at(4010), rules);
+        CHECK_FALSE(weights::may_issue_orders(second, at(7000)));
+        const auto gap = second.valid_from - at(3600);
+        CHECK(gap >= rules.handover_gap);
     }
     SECTION("while one that held it before need not wait for itself") {
-        CHECK(
-            weights::may_order(weights::begin_term(9, 2, {}, at(4000), at(4010), rules), at(4010)));
+        CHECK(weights::may_issue_orders(weights::begin_term(9, 2, {}, at(4000), at(4010), rules),
+                                        at(4010)));
     }
 }
 
@@ -44,8 +45,8 @@
 // begin on weights that were outdated for twelve seconds.
 TEST_CASE("holders that gave no order are not waited for", "[weights]") {
     const weights::term_rules rules;
-    const auto third = weights::begin_term(34, 3, {.other = true, .seen_ended = at(1000)}, at(3200),
-                                           at(3210), rules);
-    CHECK_FALSE(weights::may_order(third, at(3999)));
-    CHECK(weights::may_order(third, at(4000)));
+    const auto third = weights::begin_term(34, 3, {.is_other_process = true, .ended_at = at(1000)},
+                                           at(3200), at(3210), rules);
+    CHECK_FALSE(weights::may_issue_orders(third, at(3999)));
+    CHECK(weights::may_issue_orders(third, at(4000)));
 }
