--- a/src/kvcache/prompt_sources.cpp
+++ b/src/kvcache/prompt_sources.cpp
@@ -32,7 +32,7 @@
     const auto found = std::find_if(request.pool_members.begin(), request.pool_members.end(),
                                     [&](const auto* one) { return one->listed.id == id; });
     const bool can_ask = found != request.pool_members.end() && fleet::is_available(**found) &&
-                         membership::usable((*found)->health, view.now);
+                         membership::is_usable((*found)->health, view.now);
     return can_ask ? *found : nullptr;
 }
 
@@ -146,15 +146,15 @@
 }
 
 double fetch_ms_per_token(const routes::pool& pool) {
-    const bool known = pool.token_bytes > 0 && pool.link_mbps > 0;
-    return known ? pool.token_bytes * bits_per_byte / (pool.link_mbps * bits_per_ms_per_mbps)
+    const bool known = pool.kv_token_bytes > 0 && pool.link_mbps > 0;
+    return known ? pool.kv_token_bytes * bits_per_byte / (pool.link_mbps * bits_per_ms_per_mbps)
                  : default_fetch_ms_per_token;
 }
 
 double transfer_ms(const routes::pool& pool, const routes::kv_store& store, double tokens) {
-    const bool known = pool.token_bytes > 0 && store.link_mbps > 0;
+    const bool known = pool.kv_token_bytes > 0 && store.link_mbps > 0;
     const double token_ms =
-        known ? pool.token_bytes * bits_per_byte / (store.link_mbps * bits_per_ms_per_mbps)
+        known ? pool.kv_token_bytes * bits_per_byte / (store.link_mbps * bits_per_ms_per_mbps)
               : default_fetch_ms_per_token;
     return token_ms * tokens;
 }
--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -89,11 +89,12 @@
     this->criteria.hash = request_hash(this->metadata);
     this->criteria.pool = routes::choose_pool(route, this->criteria.hash);
     this->criteria.target = route.target;
-    this->criteria.prompt = route.shares_prompts ? &this->metadata : nullptr;
+    this->criteria.prompt = route.prompt_affinity ? &this->metadata : nullptr;
     if (this->request.team != nullptr && this->request.team->isolated) {
         this->criteria.isolated_team = this->request.team->id;
     }
-    admission::note_request(this->context.state.retries[this->criteria.pool], this->context.now());
+    admission::record_request(this->context.state.retries[this->criteria.pool],
+                              this->context.now());
     if (this->refuse_if_over_quota()) {
         return;
     }
--- a/src/proxy/request_quota.cpp
+++ b/src/proxy/request_quota.cpp
@@ -13,7 +13,7 @@
     if (limit.unit == routes::quota_unit::requests) {
         return {1};
     }
-    return {metadata.max_total_tokens.value_or(limit.plain_tokens)};
+    return {metadata.max_total_tokens.value_or(limit.default_tokens)};
 }
 
 } // namespace
@@ -25,9 +25,9 @@
         return false;
     }
     const auto cost = quota_cost(team->quota, this->metadata);
-    const auto taken = quota::take(this->context.state.quotas, team->id, cost,
-                                   base::stable_hash(this->metadata.request_id),
-                                   this->context.now(), quota_rules_of(this->context.settings));
+    const auto taken = quota::admit(this->context.state.quotas, team->id, cost,
+                                    base::stable_hash(this->metadata.request_id),
+                                    this->context.now(), quota_rules_of(this->context.settings));
     if (taken.admitted) {
         this->charged_quota = cost;
         return false;
@@ -53,8 +53,8 @@
         return;
     }
     const quota::units ran{this->charged_quota->value * this->possible_executions};
-    quota::settle(this->context.state.quotas, this->request.team->id, *this->charged_quota, ran,
-                  this->context.now());
+    quota::adjust_charge(this->context.state.quotas, this->request.team->id, *this->charged_quota,
+                         ran, this->context.now());
     this->charged_quota.reset();
 }
 
--- a/src/proxy/request_responses.cpp
+++ b/src/proxy/request_responses.cpp
@@ -111,7 +111,7 @@
     this->current->response_started = true;
     this->current->first_byte_at = this->context.now();
     if (auto* member = this->current_member()) {
-        fleet::note_begun(member->local_work, this->current_work());
+        fleet::record_first_byte(member->local_work, this->current_work());
     }
     this->report_prompt_read();
     if (!this->time_to_first_byte) {
