--- a/src/kvcache/cache_index.cpp
+++ b/src/kvcache/cache_index.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-// Further copies of one prompt are not needed to find a source.
+// Maximum number of engines recorded per level. More copies are not needed to find a source to
+// fetch from.
 constexpr std::size_t max_readers = 3;
 
 cache_index::record& find_or_add(cache_index& beliefs, std::uint64_t prompt) {
--- a/src/kvcache/cache_index.h
+++ b/src/kvcache/cache_index.h
@@ -15,77 +15,83 @@
 
 namespace camphorrail::kvcache {
 
-// Prompts that share fewer tokens are not worth keeping track of: reading 500 tokens takes an
-// engine 5 ms, about as long as fetching them.
+// Shared prompt prefixes with fewer tokens are not tracked: prefilling 500 tokens takes an engine 5
+// ms, about as long as fetching them.
 inline constexpr std::int64_t min_tracked_tokens = 500;
 
-// An engine has read a prompt. Entries tell each other, since each sees only its part of a prompt's
-// requests.
+// Reports that an engine has prefilled a prompt. Entries exchange these reports, since each entry
+// handles only a part of a prompt's requests.
 struct prompt_prefill {
-    // One shared level: its key, and the tokens of its own part.
+    // One shared level: its key, and the number of tokens in the level's own part.
     struct level {
         std::uint64_t key = 0;
         std::int64_t tokens = 0;
     };
-    // Outermost first; not empty.
+    // Outermost level first; never empty.
     std::vector<level> levels;
     std::int64_t unshared_tokens = 0;
     std::int64_t weights = 0;
     base::upstream_instance engine;
-    // The engine was told to save it in the prompt's store.
+    // Whether the engine was instructed to save the prompt in its KV cache store.
     bool saved = false;
-    // How long its first event took, and what the engine had to read before; no time where that
-    // shows nothing.
+    // Time to the request's first event and the prefill work before it. `ms` is 0 if the request
+    // does not allow such a measurement.
     latency::first_byte_sample first_byte;
 };
 
-// Who has read which level of which prompts lately, as far as this entry and those it hears from
-// have seen. Levels are known by their keys at their weights.
+// Which engines have recently prefilled which prompt levels, according to this entry's requests and
+// the reports of other entries. A level is identified by its key combined with the version of the
+// weights.
 struct cache_index {
     struct reader {
         base::upstream_id engine;
         base::instant read_at{};
     };
     struct record {
-        // Newest first, each engine once.
+        // Most recent first; each engine appears once.
         std::vector<reader> readers;
-        // When an engine was last told to save it; the epoch for never.
+        // When an engine was last instructed to save the level; the epoch if never.
         base::instant saved_at{};
         std::list<std::uint64_t>::iterator lru_position;
     };
     std::unordered_map<std::uint64_t, record> records;
-    // Keys, the one used longest ago first.
+    // Keys of `records` in order of use, the least recently used first.
     std::list<std::uint64_t> lru_order;
-    // What each engine that was seen to read prompts probably holds.
+    // Estimated cache contents of each engine that has prefilled a prompt.
     std::unordered_map<base::upstream_id, engine_cache> engine_caches;
-    // A minute of one entry's prompts and half a minute of all entries' at today's sizes; 2 MB.
+    // Maximum number of records. Covers one minute of a single entry's prompts, or half a minute of
+    // all entries', and takes 2 MB.
     std::size_t max_records = 8192;
-    // How much of the traffic each outermost level makes up.
+    // Share of each outermost level in the recent traffic.
     routing::popularity outer_level_popularity;
 };
 
-// `room` is the engine's memory in tokens, 0 where that is not known.
+// Records that an engine has prefilled a prompt. `capacity` is the size of the engine's KV cache in
+// tokens, 0 if unknown.
 void record_prefill(cache_index& beliefs, const prompt_prefill& read, std::int64_t room,
                     base::instant now);
 
-// A request that is read after others finds what these have had read by then. Notes that an engine
-// will hold a prompt's shared levels once it has read what was sent to it.
+// Records that a prompt was sent to an engine. Requests queued behind it will find its shared
+// levels in the cache, so they count as cached from now on.
 void record_sent(cache_index& beliefs, const base::upstream_id& to, const prompt_chain& chain,
                  std::int64_t weights, std::int64_t room);
 
-// Whether an engine probably holds a level, given by its key at its weights.
+// Whether an engine probably has a level in its cache. `level` is the key combined with the version
+// of the weights. The second function requires that the level was used so recently that eviction is
+// unlikely.
 bool holds_level(const cache_index& beliefs, const base::upstream_id& engine, std::uint64_t level);
 bool reliably_holds_level(const cache_index& beliefs, const base::upstream_id& engine,
                           std::uint64_t level);
 
-// The upstream has lost its cache, as by new weights, or has ended.
+// Removes an engine that has lost its cache, for instance by loading new weights, or has
+// terminated.
 void forget_engine(cache_index& beliefs, const base::upstream_id& gone);
 
-// The newest readings of a prompt, newest first; empty where none is known.
+// The engines that have most recently prefilled a level, the latest first; empty if none is known.
 const std::vector<cache_index::reader>& readers_of(const cache_index& beliefs,
                                                    std::uint64_t prompt);
 
-// When an engine was last told to save the prompt; nothing where none was.
+// When an engine was last instructed to save the level; nullopt if never.
 std::optional<base::instant> last_save_time(const cache_index& beliefs, std::uint64_t prompt);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/cache_index_tests.cpp
+++ b/src/kvcache/cache_index_tests.cpp
@@ -10,7 +10,8 @@
 
 } // namespace
 
-TEST_CASE("cached parts are told apart by weights and by isolated teams", "[kvcache]") {
+TEST_CASE("cache keys differ between versions of the weights and between isolated teams",
+          "[kvcache]") {
     const kvcache::prompt_scope shared{{"m"}, {}};
     const kvcache::prompt_scope walled{{"m"}, {"north"}};
     CHECK(kvcache::make_salt(shared, 1) != kvcache::make_salt(shared, 2));
@@ -22,7 +23,7 @@
     CHECK(kvcache::key_for_weights(here.key, 1) != kvcache::key_for_weights(here.key, 2));
 }
 
-TEST_CASE("beliefs are bounded and forget the oldest first", "[kvcache]") {
+TEST_CASE("the cache index is bounded and evicts the least recently used levels", "[kvcache]") {
     constexpr std::int64_t weights = 3;
     const auto readings = [](const kvcache::cache_index& beliefs, std::uint64_t level) {
         return kvcache::readers_of(beliefs, kvcache::key_for_weights(level, weights));
@@ -47,27 +48,28 @@
     CHECK(kvcache::last_save_time(beliefs, kvcache::key_for_weights(98, weights)) == now);
     CHECK_FALSE(kvcache::last_save_time(beliefs, kvcache::key_for_weights(99, weights)));
 
-    SECTION("with the newest reader first, each once") {
+    SECTION("the latest engine comes first and each engine is listed once") {
         kvcache::record_prefill(beliefs, read(99, "e2", false), room, now);
         kvcache::record_prefill(beliefs, read(99, "e1", false), room, now);
         REQUIRE(readings(beliefs, 99).size() == 2);
         CHECK(readings(beliefs, 99).front().engine.value == "e1");
     }
-    SECTION("and those of an upstream that is gone at once") {
+    SECTION("an upstream that has terminated is removed immediately") {
         kvcache::forget_engine(beliefs, {"e1"});
         CHECK(readings(beliefs, 99).empty());
     }
-    SECTION("of the outermost level too, which many prompts share") {
+    SECTION("the outermost level shared by many prompts is tracked as well") {
         kvcache::record_prefill(beliefs, read(200, "e2", false), room, now);
         REQUIRE(readings(beliefs, 1000).size() == 2);
         CHECK(readings(beliefs, 1000).front().engine.value == "e2");
     }
-    SECTION("for the weights that they were read by alone") {
+    SECTION("records apply only to the weights that were used for the prefill") {
         CHECK(kvcache::readers_of(beliefs, kvcache::key_for_weights(99, weights + 1)).empty());
     }
-    // The engine has read so much since that it must have dropped the prompt. Named as a source, it
-    // would be asked in vain, and the prompt be read anew.
-    SECTION("as long as the engine has room for it") {
+    // The engine has prefilled so many tokens since then that it must have evicted the prompt. If
+    // it were still named as a source, the fetch would fail and the prompt would be prefilled
+    // again.
+    SECTION("a level is dropped once the engine must have evicted it") {
         kvcache::record_prefill(beliefs, read(300, "e1", false), 2000, now);
         CHECK(kvcache::holds_level(beliefs, {"e1"}, kvcache::key_for_weights(300, weights)));
         CHECK_FALSE(kvcache::holds_level(beliefs, {"e1"}, kvcache::key_for_weights(97, weights)));
--- a/src/kvcache/engine_cache.cpp
+++ b/src/kvcache/engine_cache.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-// What a request alone used is kept as one piece with what others alone used about then, so that
-// the number of pieces stays that of the shared parts.
+// Unshared tokens of consecutive requests are merged into blocks of up to this size, so that the
+// list's length stays proportional to the number of shared parts.
 constexpr std::int64_t max_unshared_block_tokens = 4096;
-// Part of the memory that cached parts get: requests that are generating keep theirs, and what they
-// generate is in it too.
+// Fraction of the cache that is available to finished prompts. The rest is taken by running
+// requests and by the tokens that they generate.
 constexpr double cache_fraction = 0.85;
 
 void evict_oldest_parts(engine_cache& memory) {
--- a/src/kvcache/engine_cache.h
+++ b/src/kvcache/engine_cache.h
@@ -7,42 +7,45 @@
 
 namespace camphorrail::kvcache {
 
-// What one engine's memory probably holds, worked out from the prompts that it was seen to read:
-// engines drop what was used longest ago, and do not tell entries.
+// Estimate of one engine's KV cache contents, simulated as an LRU cache over the prompts that the
+// engine is known to have prefilled. Engines evict the least recently used parts and do not report
+// evictions.
 //
-// A fixed time in its place, 1.5 s, fitted engines of 72,000 tokens at the peak. Engines of 178,000
-// hold a prompt for ten seconds, and their prompts were fetched from the stores' far slower links
-// or read again.
+// A fixed retention time does not work, since the real one depends on the cache size: 1.5 s matched
+// engines with 72,000 tokens at peak load, while engines with 178,000 tokens keep a prompt for ten
+// seconds, and their prompts were then fetched over the stores' much slower links or prefilled
+// again.
 struct engine_cache {
     struct cached_part {
-        // A level of a prompt at its weights; 0 for tokens that nobody asks for again.
+        // Key of a prompt level at one version of the weights; 0 for tokens that no other request
+        // shares.
         std::uint64_t key = 0;
         std::int64_t tokens = 0;
-        // What the engine had read in all when it last used the part.
+        // Value of `total_prefilled_tokens` when the part was last used.
         std::int64_t last_used_position = 0;
     };
-    // In tokens; 0 where it is not known, and then nothing is known to be held.
+    // Cache size in tokens; 0 if unknown, and then nothing counts as cached.
     std::int64_t capacity = 0;
     std::int64_t used_tokens = 0;
-    // Tokens that it has read in all.
+    // Tokens that the engine has prefilled in total.
     std::int64_t total_prefilled_tokens = 0;
-    // What was used longest ago comes first.
+    // Least recently used part first.
     std::list<cached_part> lru_order;
     std::unordered_map<std::uint64_t, std::list<cached_part>::iterator> by_key;
 };
 
-// The engine uses a part, having read it where it did not hold it.
+// Records that the engine has used a part, which it prefilled if the part was not cached.
 void touch_part(engine_cache& memory, std::uint64_t key, std::int64_t tokens);
 
-// The engine reads tokens that belong to one request alone.
+// Records that the engine has prefilled tokens that belong to a single request.
 void add_unshared_tokens(engine_cache& memory, std::int64_t tokens);
 
-// Whether the engine probably holds a part.
+// Whether a part is probably cached.
 bool holds(const engine_cache& memory, std::uint64_t key);
 
-// Whether it holds it for sure, as far as that can be worked out: it has read less than half of its
-// memory since. One in ten parts nearer to yielding was gone, and the prompt was read anew that a
-// store would have had.
+// Whether a part is cached with high confidence: since its last use the engine has prefilled less
+// than half of its cache size. Of the parts closer to eviction, one in ten was already gone, and
+// the prompt was prefilled again although a store could have supplied it.
 bool reliably_holds(const engine_cache& memory, std::uint64_t key);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/engine_cache_tests.cpp
+++ b/src/kvcache/engine_cache_tests.cpp
@@ -4,9 +4,11 @@
 
 using namespace camphorrail;
 
-// Two pools with the same prompts: on the one whose engines hold more, a prompt that was read ten
-// seconds ago is still there, and is fetched from there instead of being read again.
-TEST_CASE("what an engine holds follows from what it has read since", "[kvcache]") {
+// Guards against a fixed retention time for all pools: on engines with a larger cache, a prompt
+// that was prefilled ten seconds ago is still cached, and can be fetched from there instead of
+// being prefilled again.
+TEST_CASE("an engine's cache contents are estimated from the tokens it has prefilled",
+          "[kvcache]") {
     kvcache::engine_cache memory;
     memory.capacity = 22000;
     kvcache::touch_part(memory, 1, 6000);
@@ -14,22 +16,22 @@
     kvcache::touch_part(memory, 3, 6000);
     CHECK(kvcache::holds(memory, 1));
 
-    SECTION("the more surely, the less it has read since") {
+    SECTION("confidence is higher the fewer tokens were prefilled since the last use") {
         CHECK(kvcache::reliably_holds(memory, 3));
         CHECK_FALSE(kvcache::reliably_holds(memory, 1));
     }
-    SECTION("the part used longest ago yields first") {
+    SECTION("the least recently used part is evicted first") {
         kvcache::touch_part(memory, 4, 6000);
         CHECK_FALSE(kvcache::holds(memory, 1));
         CHECK(kvcache::holds(memory, 2));
     }
-    SECTION("a part that is used again stays") {
+    SECTION("a part that is used again is kept") {
         kvcache::touch_part(memory, 1, 6000);
         kvcache::touch_part(memory, 4, 6000);
         CHECK_FALSE(kvcache::holds(memory, 2));
         CHECK(kvcache::holds(memory, 1));
     }
-    SECTION("requests' own parts take room too") {
+    SECTION("unshared tokens of requests take space as well") {
         kvcache::add_unshared_tokens(memory, 3000);
         CHECK_FALSE(kvcache::holds(memory, 1));
         CHECK(kvcache::holds(memory, 2));
@@ -40,7 +42,7 @@
         CHECK(memory.used_tokens <= memory.capacity);
         CHECK(memory.lru_order.size() < 10);
     }
-    SECTION("a part that is larger than the memory is not held") {
+    SECTION("a part larger than the cache is not kept") {
         kvcache::touch_part(memory, 5, 50000);
         CHECK_FALSE(kvcache::holds(memory, 5));
         CHECK(memory.used_tokens == 0);
--- a/src/kvcache/lanes.cpp
+++ b/src/kvcache/lanes.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// A pool's engines in the order in which they join the lane for short prompts: by turns of the
-// availability zones, so that none is left with too few for either kind, and within a zone by a
-// hash of the name, so that few engines change lanes when one comes or goes.
+// Orders a pool's engines by when they join the short lane. Alternates between availability zones,
+// so that each zone keeps engines for both kinds of prompts; within a zone, orders by the hash of
+// the id, so that few engines change lanes when an engine joins or leaves.
 std::vector<fleet::member*> lane_order(const std::vector<fleet::member*>& members) {
     std::map<base::availability_zone, std::vector<fleet::member*>> zones;
     for (auto* one : members) {
@@ -36,7 +36,7 @@
     return order;
 }
 
-// How many engines' worth of slots the short prompts under way at a pool's engines ask for.
+// Number of engines needed for the requests with short prompts that are in flight in a pool.
 double required_engines(const std::vector<fleet::member*>& members, base::instant now,
                         const lane_rules& rules) {
     double wanted = 0.0;
@@ -53,7 +53,7 @@
     const auto passed =
         static_cast<double>(std::max(now - size.updated_at, base::micros(0)).count());
     size.updated_at = now;
-    // A pool without traffic says nothing of the traffic to come.
+    // An idle pool does not allow predictions about future traffic.
     size.has_seen_traffic = size.has_seen_traffic || wanted > 0.0;
     if (!size.has_seen_traffic) {
         size.demand = first;
--- a/src/kvcache/lanes_tests.cpp
+++ b/src/kvcache/lanes_tests.cpp
@@ -12,7 +12,7 @@
     return base::instant{base::milliseconds(millis)};
 }
 
-// A pool whose engines have answers to short prompts under way, spread evenly.
+// A pool whose engines have requests with short prompts in flight, evenly distributed.
 struct loaded_pool {
     fleet::fleet state;
     kvcache::lane_sizes sizes;
@@ -31,7 +31,8 @@
         fleet::apply_list(this->state, listed, at(0));
     }
 
-    // Lets time pass with so many answers under way in all; gives the engines kept for short ones.
+    // Simulates `seconds` with this many requests in flight in total; returns the number of engines
+    // in the short lane.
     std::size_t run(std::int64_t answers, int seconds) {
         const auto members = static_cast<std::int64_t>(this->state.members.size());
         for (auto& [id, one] : this->state.members) {
@@ -48,26 +49,27 @@
 
 } // namespace
 
-// Two pools of the same size and traffic: on one, answers to short prompts take a third of a
-// second, on the other three seconds. With the same share for both, one keeps engines idle while
-// its long prompts wait, or the other's short prompts wait for slots.
-TEST_CASE("the lane for short prompts has as many engines as their answers need", "[kvcache]") {
+// Guards against a fixed share for all pools. Two pools have the same size and traffic, but on one,
+// responses to short prompts take a third of a second, on the other three seconds. With the same
+// share for both, either engines idle on one while its long prompts wait, or the other's short
+// prompts wait for slots.
+TEST_CASE("the short lane has as many engines as the short prompts in flight need", "[kvcache]") {
     loaded_pool quick(9);
     CHECK(quick.run(54, 20) == 2);
     loaded_pool slow(18);
     CHECK(slow.run(198, 20) == 5);
 
-    SECTION("more within seconds when the traffic turns to them, at most three in ten") {
+    SECTION("it grows within seconds when short prompts increase, up to three in ten engines") {
         CHECK(quick.run(900, 6) == 2);
         loaded_pool large(40);
         CHECK(large.run(120, 30) < 8);
         CHECK(large.run(2000, 6) == 12);
     }
-    SECTION("and the same as before where the traffic stops, as between two bursts") {
+    SECTION("it keeps its size while there is no traffic, as between two bursts") {
         const auto before = slow.sizes.at({"pool"}).reserved;
         CHECK(slow.run(0, 60) == before);
     }
-    SECTION("with few engines changing sides when the work goes up and down a little") {
+    SECTION("small fluctuations of the work do not change its size") {
         loaded_pool large(40);
         const auto kept = large.run(200, 30);
         for (int round = 0; round < 10; ++round) {
@@ -76,7 +78,7 @@
     }
 }
 
-TEST_CASE("before any traffic a part of the pool is kept", "[kvcache]") {
+TEST_CASE("part of the pool is reserved before any traffic", "[kvcache]") {
     CHECK(loaded_pool(18).run(0, 5) == 5);
     loaded_pool small(4);
     CHECK(small.run(0, 1) == 1);
--- a/src/kvcache/overload.h
+++ b/src/kvcache/overload.h
@@ -6,27 +6,28 @@
 
 namespace camphorrail::kvcache {
 
-// Whether a prompt is refused at once, and its caller told when to come back, since it would wait
-// too long at the best of its upstreams.
+// Whether a prompt should be rejected immediately, with a time to retry after, since it would wait
+// too long even at its best upstream. `wait_ms` is the expected wait before prefill, and
+// `first_byte_ms` the expected time to the first event, including that wait.
 //
-// When more comes than the engines can read, each prompt that is sent all the same makes those
-// before it late, and most of them are in vain: callers leave before their first event, and engines
-// whose memory is full put running prompts back and read them a second time. Such an overload kept
-// itself up for ten seconds after new weights or a crash. Refused prompts come back when it is
-// over.
+// If requests arrive faster than the engines can prefill, each additional prompt delays those
+// already queued, and much of the work is wasted: clients give up before their first event, and
+// engines whose memory is full preempt running requests and prefill them a second time. Such an
+// overload sustained itself for ten seconds after new weights or a crash. Rejected clients retry
+// once it is over.
 //
-// One that would be on time all the same is never refused, and neither is one that hardly waits: it
-// is late by its own length, and would be when it comes back.
+// A prompt that would still meet its target is never rejected. Neither is one with a short wait: it
+// misses the target due to its own length, and would do so on a retry as well.
 //
-// Measured on twenty heavy days each of three pools, against refusing by the wait alone from two
-// fifths of the target on: 0.006, 0.011 and 0.024 of the worth, and half as many refused. From a
-// wait of seven tenths or more on, engines fell behind and most answers were late.
+// Rejecting by the wait alone, from two fifths of the target on, scored 0.006, 0.011 and 0.024 less
+// on twenty days of heavy load in each of three pools, and rejected twice as many. With a threshold
+// of seven tenths or more, engines fell behind and most responses were late.
 bool should_reject(double first_byte_ms, double waiting_ms, base::milliseconds target);
 
-// When a refused caller is to come back. Spread by a number that differs from request to request,
-// so that those who are refused together do not return together. Half a second or over a second
-// made no difference to how many were served; callers with four seconds wait for a third of these
-// at most.
+// How long a rejected client should wait before retrying. `number` differs between requests and
+// spreads the delays, so that clients rejected at the same time do not retry at the same time.
+// Delays of half a second or of more than a second served as many requests; clients with a timeout
+// of four seconds wait for at most a third of it.
 base::milliseconds retry_delay(std::uint64_t number);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/overload_tests.cpp
+++ b/src/kvcache/overload_tests.cpp
@@ -13,15 +13,16 @@
 namespace {
 
 constexpr base::milliseconds target{400};
-// A long prompt of 9,200 tokens at 100 tokens a millisecond, and a fifth for the answers between.
+// Prefill of a long prompt with 9,200 tokens at 100 tokens per millisecond, plus a fifth for the
+// decoding of running requests in between.
 constexpr int reading_ms = 110;
-// Half a second of generating, during which its prompt stays in the engine's memory.
+// Half a second of generation, during which the prompt stays in the engine's memory.
 constexpr int generation_ms = 500;
 // An engine's memory of 72,000 tokens holds seven such prompts.
 constexpr std::size_t max_resident_prompts = 7;
-// Callers leave after two seconds without a first event.
+// Clients give up after two seconds without a first event.
 constexpr int client_timeout_ms = 2000;
-// Part of an engine's waits by which it is expected to be late; see placement.
+// Fraction of an engine's queue that counts as expected wait; see placement.
 constexpr double expected_share = 1.0;
 constexpr int span_ms = 20000;
 
@@ -48,8 +49,9 @@
     }
 };
 
-// One engine that reads a prompt at a time, the oldest first, and holds each until its answer has
-// ended. It puts the newest prompt back when its memory is full, and reads it again later.
+// An engine that prefills one prompt at a time in order of arrival, and holds each in memory until
+// its response has ended. If the memory is full, it preempts the newest prompt and prefills it
+// again later.
 struct engine {
     std::deque<prompt> queue;
     std::vector<int> held_until;
@@ -65,7 +67,7 @@
     const auto next = one.queue.front();
     one.queue.pop_front();
     if (now - next.arrived_ms > client_timeout_ms) {
-        // The call is cancelled only when the engine is about to read it.
+        // The engine notices that the client has cancelled only when the prompt's turn comes.
         ++result.never;
         return;
     }
@@ -80,8 +82,8 @@
     (first_event_ms <= target.count() ? result.on_time : result.late) += 1;
 }
 
-// Arrivals for twenty seconds, with `overload` times what the engines can read for five of them. A
-// prompt goes where least waits of those that come first for it.
+// Simulates arrivals for twenty seconds, during five of which they reach `overload` times the
+// engines' prefill capacity. A prompt is sent to the engine with the shortest expected wait.
 outcome run_engines(double usual, double overload, bool refuses) {
     base::random_source random{7};
     std::vector<engine> engines(3);
@@ -137,11 +139,12 @@
 
 } // namespace
 
-// New weights or the loss of a third of the engines make every prompt be read anew: for five
-// seconds the others get half as much again as they can read. Callers see every answer late and
-// then none, since each prompt waits behind all before it, and those that are read when their
-// callers have nearly left take the engine's time in vain.
-TEST_CASE("prompts refused in overload leave time for the others", "[kvcache]") {
+// Guards against congestion collapse. After new weights or the loss of a third of the engines,
+// every prompt has to be prefilled again, and for five seconds the engines get one and a half times
+// what they can prefill. Without rejection, all responses are late and then missing, since each
+// prompt waits behind all earlier ones, and engines spend their time on prompts whose clients are
+// about to give up.
+TEST_CASE("rejecting prompts in overload keeps the remaining ones on time", "[kvcache]") {
     constexpr double usual = 0.6;
     constexpr double overload = 1.5;
     const auto all_wait = run_engines(usual, overload, false);
@@ -151,21 +154,22 @@
     CHECK(some_refused.unserved() < 0.2);
     CHECK(some_refused.late < all_wait.late / 2);
 
-    SECTION("and below it hardly one is refused") {
+    SECTION("below the overload hardly any prompt is rejected") {
         const auto calm = run_engines(usual, usual, true);
         CHECK(calm.unserved() < 0.01);
         CHECK(calm.worth() > run_engines(usual, usual, false).worth() - 0.02);
     }
 }
 
-// Callers who are refused in the same moment and return in the same moment are refused again.
-TEST_CASE("refused callers come back one after the other", "[kvcache]") {
+// Guards against synchronized retries: clients that are rejected together and retry together would
+// be rejected again.
+TEST_CASE("rejected clients retry at different times", "[kvcache]") {
     std::set<base::milliseconds> times;
     for (std::uint64_t number = 0; number < 1000; ++number) {
         times.insert(kvcache::retry_delay(number * 7919));
     }
     CHECK(times.size() > 400);
-    // A third of what callers with four seconds have left.
+    // A third of the timeout of clients that wait for four seconds.
     CHECK(*times.rbegin() < base::milliseconds(1300));
     CHECK(*times.begin() > base::milliseconds(500));
 }
--- a/src/kvcache/placement.cpp
+++ b/src/kvcache/placement.cpp
@@ -10,22 +10,23 @@
 
 namespace {
 
-// Engines of the prompt's lane that are looked at. Short prompts have little to lose away from
+// Number of engines of the prompt's lane that are considered. Short prompts lose little away from
 // home.
 constexpr std::size_t long_prompt_candidates = 3;
 constexpr std::size_t short_prompt_candidates = 4;
-// An engine of the other lane counts as so many steps from a prompt's home.
+// Maximum rank penalty, which also applies to engines of the other lane.
 constexpr std::size_t max_rank_penalty_steps = 2;
-// Engines of the other lane that are looked at, for when the prompt's own is full.
+// Number of engines of the other lane that are considered, in case the prompt's own lane is full.
 constexpr std::size_t other_lane_candidates = 2;
-// A save waits for nobody, but whatever is fetched after it waits for it.
+// A save delays later fetches from the same store, so it is not ordered if it would have to wait
+// for longer than this.
 constexpr double max_save_wait_ms = 300.0;
-// A save shows in the store's events within this time; until then it is not ordered again.
+// Time until a save is visible in the store's events; it is not ordered again before that.
 constexpr base::seconds save_visibility_delay{2};
-// Where no store's contents are known, a prompt is saved again after this long.
+// Interval after which a prompt is saved again if the store's contents are unknown.
 constexpr base::seconds unknown_store_save_interval{20};
 
-// How long until one of an engine's slots is free, when more than a part of them are taken.
+// Expected time until a slot becomes free if more than `threshold` of an engine's slots are taken.
 double slot_wait_ms(const fleet::member& one, const fleet::workload& work, double part,
                     const placement_costs& costs) {
     const auto slots = static_cast<double>(std::max<std::int64_t>(one.listed.slots, 1));
@@ -33,7 +34,8 @@
     return over * costs.response_ms / slots;
 }
 
-// How long until there is room for one more prompt, when more than a part of the memory is taken.
+// Expected time until there is room for the prompt if more than `threshold` of an engine's memory
+// is taken.
 double memory_wait_ms(const fleet::workload& work, double part, const prompt_request& request,
                       const placement_costs& costs) {
     if (request.pool.kv_capacity_tokens <= 0) {
@@ -52,7 +54,7 @@
                                                   token_ms > 0.0 ? 1.0 / token_ms : 0.0);
 }
 
-// How long the prompt will probably wait at an engine before it is read.
+// Expected time that the prompt waits in an engine's queue before its prefill.
 double expected_wait_ms(const fleet::member& one, const prompt_request& request,
                         const placement_context& view) {
     const auto work = fleet::total_work(one, view.now);
@@ -62,7 +64,7 @@
            memory_wait_ms(work, 1.0, request, view.costs);
 }
 
-// What it costs to serve a prompt away from its home, for each step.
+// Cost of serving a prompt away from its home, per rank step.
 double off_home_step_ms(const prompt_request& request, const placement_context& view) {
     const latency::prefill_work read_again{1.0, 0.0, 0.0};
     const double token_ms =
@@ -71,11 +73,11 @@
     return token_ms * static_cast<double>(request.chain.shared_tokens());
 }
 
-// How many engines come before this one for the prompt, so 0 for its home. Each step costs the
-// cached parts once more: the further a prompt strays, the fewer others find there what it has
-// read. With the same cost for all steps, 7 in 100 more shared tokens were read again on ten days
-// at the peak; with the first two engines alone 10 in 100 fewer, but more was refused on lighter
-// days.
+// Rank of an engine for the prompt, capped; 0 for its home. Each step adds the cost of the shared
+// tokens once more: the further away a prompt is served, the fewer other requests find its prefix
+// in the cache. With the same cost for all ranks, 7 % more shared tokens were prefilled again at
+// peak load; considering only the first two engines reduced them by 10 %, but rejected more prompts
+// under lighter load.
 std::size_t rank_penalty_steps(const fleet::member& one,
                                const std::vector<const fleet::member*>& by_prompt) {
     const auto at = std::find(by_prompt.begin(), by_prompt.end(), &one) - by_prompt.begin();
@@ -88,7 +90,7 @@
     return targets * static_cast<double>(request.target.count());
 }
 
-// A candidate with what serving the prompt there takes and costs.
+// A candidate with the expected times and the cost of serving the prompt there.
 struct placement_option {
     const candidate* target = nullptr;
     prompt_source source;
@@ -99,7 +101,8 @@
     double cost_ms = 0.0;
 };
 
-// What the prompt itself takes there: what is fetched, and what is read.
+// Estimates the prompt's own times at the candidate: fetching cached parts, and prefilling the
+// rest.
 void estimate_own_time(placement_option& made, const prompt_request& request,
                        const placement_context& view, const routes::kv_store* store) {
     const auto& chain = request.chain;
@@ -142,7 +145,7 @@
     return made;
 }
 
-// The candidates that are looked at: those of the lane that come first for the prompt, and a few of
+// Selects the candidates to consider: those that rank highest in the prompt's lane, and a few of
 // the other lane.
 std::vector<const candidate*> select_candidates(const std::vector<candidate>& candidates,
                                                 const std::vector<const fleet::member*>& by_prompt,
@@ -178,7 +181,7 @@
         few.push_back(beside[at]);
     }
     if (few.empty()) {
-        // All that is left has vanished from the list a moment ago and is in no lane.
+        // The remaining candidates have just vanished from the list and belong to no lane.
         for (const auto& each : candidates) {
             few.push_back(&each);
         }
@@ -189,8 +192,9 @@
 bool needs_save(const placement& made, const prompt_request& request, const placement_context& view,
                 const routes::kv_store& store) {
     const auto& chain = request.chain;
-    // A save takes the request's own part along, which nobody asks for again; with larger ones the
-    // stores dropped shared parts for them, with smaller ones alone most saves came too late.
+    // A save includes the request's unshared part, which no other request needs. Without this
+    // limit, stores evicted shared parts in favor of unshared ones; with a lower limit, most saves
+    // came too late.
     if (chain.unshared_tokens > chain.shared_tokens()) {
         return false;
     }
--- a/src/kvcache/placement_tests.cpp
+++ b/src/kvcache/placement_tests.cpp
@@ -22,7 +22,7 @@
     kvcache::lane_sizes lanes;
     kvcache::cache_index beliefs;
     kvcache::store_index copies;
-    // Engines that read a token in about 10 microseconds.
+    // Engines that prefill a token in about 10 microseconds.
     latency::first_byte_model model{.coefficients = {8.0, 0.01, 0.0}};
     routes::pool pool{{"pool"}, 71'780, 192'512, 350'000};
 
@@ -55,7 +55,7 @@
         kvcache::record_prefill(this->beliefs, read, this->pool.kv_capacity_tokens, at);
     }
 
-    // Enough traffic, evenly over all agencies, for shares to be known.
+    // Records enough traffic, evenly distributed over all agencies, for traffic shares to be known.
     void see_traffic(const std::function<kvcache::prompt_chain(int)>& chain_of) {
         for (int history = 0; history < 300; ++history) {
             this->note({chain_of(history).levels.front()}, {{"e0"}, {}}, now, false);
@@ -85,7 +85,7 @@
         this->note(chain.levels, fleet::instance_of(by), at, saved);
     }
 
-    // Each store holds the whole prompt.
+    // Makes every store hold the whole prompt.
     void keep(const kvcache::prompt_chain& chain) {
         for (const auto& store : stores) {
             for (const auto& level : chain.levels) {
@@ -115,12 +115,12 @@
 
 } // namespace
 
-TEST_CASE("prompts with a shared prefix meet where it is cached", "[kvcache]") {
+TEST_CASE("prompts with a shared prefix are sent where it is cached", "[kvcache]") {
     world entry(18);
     world other_entry(18);
     const auto chain = chain_of(1);
 
-    SECTION("at a home that all entries agree on") {
+    SECTION("all entries compute the same home") {
         entry.see_traffic([](int history) { return chain_of(history); });
         other_entry.see_traffic([](int history) { return chain_of(history); });
         std::map<std::string, int> homes;
@@ -131,28 +131,28 @@
             CHECK(here.target.engine->listed.id == there.target.engine->listed.id);
             ++homes[here.target.engine->listed.id.value];
         }
-        // Long prompts keep out of the lane for short ones, three tenths of the pool.
+        // Long prompts do not use the short lane, three tenths of the pool.
         CHECK(homes.size() == 13);
     }
-    SECTION("with less to read there once it has read them") {
+    SECTION("cached tokens are not prefilled again") {
         const auto first = entry.place(chain);
         CHECK(first.prefill_tokens == 2890 + 6300);
         entry.read(chain, *first.target.engine, now);
         CHECK(entry.place(chain).target.engine == first.target.engine);
         CHECK(entry.place(chain).prefill_tokens == 2890);
     }
-    // The engine has dropped the prompt since, without telling. It would read all of it again,
-    // while a store of kept cache still has it.
-    SECTION("with the kept copy as a source, since engines drop what they hold") {
+    // The engine has since evicted the prompt, which it does not report. Without a named source it
+    // would prefill all of it again, although a KV cache store still holds it.
+    SECTION("a store that holds the prompt is named as a source, since engines evict entries") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
         entry.keep(chain);
         CHECK(entry.place(chain).fetch_from == store_in(home->listed.zone));
     }
-    // Much of the traffic turns to one prompt. Its home falls behind, and callers wait there while
-    // other engines idle. A second engine takes the prompt over from the first, whose link has
-    // room, while the stores' links are what all fetches share.
-    SECTION("until the home is behind; then another engine fetches from there") {
+    // Much of the traffic moves to one prompt. Its home falls behind, and clients wait there while
+    // other engines idle. A second engine fetches the prompt from the first one, whose link has
+    // spare capacity, rather than from a store, whose link is shared by all fetches.
+    SECTION("if the home has a long queue, another engine serves the prompt and fetches from it") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
         entry.keep(chain);
@@ -162,9 +162,9 @@
         CHECK(second.fetch_from == home->listed.address);
         CHECK(second.prefill_tokens == 2890);
     }
-    // At the peak every engine has something to do. Were all that come next for a prompt alike, it
-    // would be read by a different one each time, and displace there what others come for.
-    SECTION("the second of its engines, unless the third has far less to do") {
+    // At peak load every engine is busy. If the next-ranked engines were treated as equal, a
+    // different one would prefill the prompt each time and evict the cached prompts of others.
+    SECTION("the second-ranked engine is preferred unless the third has far less queued") {
         const auto placed = [&] { return entry.place(chain).target.engine; };
         auto* home = placed();
         home->local_work.pending_prefill_tokens = 30000;
@@ -174,7 +174,7 @@
         second->local_work.pending_prefill_tokens = 25000;
         CHECK(placed() != second);
     }
-    SECTION("and from the kept copy when it has read too much since") {
+    SECTION("the store is the source if the home has prefilled too much since") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now - base::seconds(3));
         for (int other = 100; other < 110; ++other) {
@@ -184,9 +184,9 @@
         home->local_work.pending_prefill_tokens = 30000;
         CHECK(entry.place(chain).fetch_from == store_in(home->listed.zone));
     }
-    // Another engine has had the prompt in its home's place, and nobody has kept a copy yet. The
-    // home would read all of it again.
-    SECTION("and it stays there, where it is cached now") {
+    // Another engine has served the prompt in place of its home, and no store holds a copy yet. The
+    // home would prefill all of it again.
+    SECTION("the prompt stays with the engine that has cached it now") {
         const auto home = entry.place(chain).target.engine;
         home->local_work.pending_prefill_tokens = 30000;
         auto* substitute = entry.place(chain).target.engine;
@@ -196,14 +196,15 @@
         CHECK(next.target.engine == substitute);
         CHECK(next.prefill_tokens == 2890);
 
-        // Until that one is behind; the home then has it from there, and reads nothing again.
+        // Once that engine has a long queue, the home fetches the prompt from it and prefills no
+        // shared tokens.
         substitute->local_work.pending_prefill_tokens = 30000;
         const auto back = entry.place(chain);
         CHECK(back.target.engine == home);
         CHECK(back.fetch_from == substitute->listed.address);
         CHECK(back.prefill_tokens == 2890);
     }
-    SECTION("and from the kept copy when the home has crashed") {
+    SECTION("the store is the source after the home has crashed") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
         entry.keep(chain);
@@ -213,10 +214,10 @@
         CHECK(next.target.engine != home);
         CHECK(next.fetch_from == store_in(home->listed.zone));
     }
-    // New weights are loaded by one engine after the other. Were a prompt to follow the newest
-    // weights, all prompts would crowd on the first engines that have them, and be read anew again
-    // each time when the others follow.
-    SECTION("also while engines change weights one after the other") {
+    // Engines load new weights one after the other. If prompts followed the newest weights, all of
+    // them would crowd on the first engines that have loaded them, and would be prefilled again
+    // each time further engines follow.
+    SECTION("the home does not change during a rolling change of weights") {
         const auto home = entry.place(chain).target.engine;
         std::vector<kvcache::candidate> mixed;
         for (auto* one : fleet::candidates(entry.state, {"pool"}, now, {}, {})) {
@@ -229,9 +230,11 @@
     }
 }
 
-// A history that nobody has read yet, below an agency's instructions that others have. After new
-// weights each engine read the 2,520 tokens of each agency once more, though all hold the same.
-TEST_CASE("the outer level of a new prompt is fetched from whoever has read it", "[kvcache]") {
+// A history that no engine has prefilled yet, below an agency's instructions that others have
+// cached. After new weights, every engine used to prefill the 2,520 tokens of each agency again,
+// although these tokens are the same everywhere.
+TEST_CASE("the outer level of a new prompt is fetched from an engine that has it cached",
+          "[kvcache]") {
     world entry(38);
     const auto chain = chain_of(1);
     const auto* home = entry.place(chain).target.engine;
@@ -241,26 +244,26 @@
     REQUIRE(other != home);
     entry.read(sibling, *other, now);
 
-    SECTION("so only the rest is read") {
+    SECTION("only the remaining tokens are prefilled") {
         const auto placed = entry.place(chain);
         CHECK(placed.fetch_from == other->listed.address);
         CHECK(placed.prefill_tokens == 3780 + 2890);
     }
-    SECTION("but from nobody where the engine holds it itself") {
+    SECTION("nothing is fetched if the engine itself holds the level") {
         entry.read(sibling, *home, now);
         const auto placed = entry.place(chain);
         CHECK(placed.fetch_from.empty());
         CHECK(placed.prefill_tokens == 3780 + 2890);
     }
-    SECTION("and from nobody who read it long ago") {
+    SECTION("nothing is fetched if no engine has used the level recently") {
         CHECK(entry.place(chain_of(2)).fetch_from.empty());
     }
 }
 
-// All entries see the same idle engine a tenth of a second after it fell idle, and all would send
-// their next prompts there. A prompt's overflow goes to the engines that come next for it, so the
-// prompts of one overloaded engine spread over many.
-TEST_CASE("prompts that overflow spread over many engines", "[kvcache]") {
+// All entries see the same idle engine a tenth of a second after it became idle, and would all send
+// their next prompts there. A prompt that leaves its home goes to the engines that rank next for it
+// instead, so the prompts of one overloaded engine are spread over many.
+TEST_CASE("prompts that leave their home are spread over many engines", "[kvcache]") {
     world entry(38);
     auto* idle = entry.place(chain_of(0)).target.engine;
     for (auto& [id, one] : entry.state.members) {
@@ -275,9 +278,10 @@
     CHECK(sent[idle->listed.id.value] < 60);
 }
 
-// Each engine that serves an agency's prompts holds a copy of what they all share. Prompts of a
-// small agency are kept to a few engines, those of a popular one have as many as its traffic needs.
-TEST_CASE("prompts below one outer level share a few engines", "[kvcache]") {
+// Each engine that serves an agency's prompts holds a copy of their common prefix. Prompts of a
+// small agency are limited to a few engines, while a popular agency gets as many as its traffic
+// needs.
+TEST_CASE("prompts below the same outer level share a few engines", "[kvcache]") {
     world entry(38);
     const auto of_small = [](int history) {
         return kvcache::make_chain(
@@ -296,7 +300,7 @@
         }
         return homes.size();
     };
-    SECTION("as many as its traffic needs") {
+    SECTION("the number of engines grows with the level's traffic") {
         entry.see_traffic([&](int history) {
             return history % 2 == 0 ? of_popular(history) : chain_of(history);
         });
@@ -305,15 +309,15 @@
         CHECK(homes_of(of_small) == 4);
         CHECK(homes_of(of_popular) > 12);
     }
-    SECTION("and all engines before the traffic is known") {
+    SECTION("all engines are used before the traffic is known") {
         CHECK(homes_of(of_small) > 20);
     }
 }
 
-// While an engine reads a long prompt, the short answers that it generates pause. Part of the pool
-// takes short prompts only, also when all the others are far behind: one long prompt there would
-// delay some thirty answers.
-TEST_CASE("short prompts have engines of their own", "[kvcache]") {
+// While an engine prefills a long prompt, the short responses that it generates stall. Part of the
+// pool therefore takes only short prompts, even if all other engines are far behind: one long
+// prompt there would delay some thirty responses.
+TEST_CASE("short prompts have dedicated engines", "[kvcache]") {
     world entry(18);
     int short_lane = 0;
     std::map<base::availability_zone, int> short_by_zone;
@@ -327,21 +331,21 @@
     const auto small = kvcache::make_chain(space, {{"tone", {119}}, {"own", {628}}});
     CHECK(entry.place(small).target.engine->short_lane);
 
-    SECTION("in every availability zone") {
+    SECTION("every availability zone has engines of the short lane") {
         CHECK(short_by_zone.at({"a"}) >= 1);
         CHECK(short_by_zone.at({"b"}) >= 1);
         CHECK(short_by_zone.at({"c"}) >= 1);
     }
-    // Answers take seconds, so the lane's slots fill up before its engines are busy reading. A
-    // request more waits for an answer to end, while the other lane has slots to spare.
-    SECTION("until nearly all of their slots are taken") {
+    // Responses take seconds, so the lane's slots fill up before its engines are busy with prefill.
+    // A further request would wait for one to complete, while the other lane has free slots.
+    SECTION("short prompts use the other lane once nearly all slots of their own are taken") {
         for (auto& [id, one] : entry.state.members) {
             one.local_work.pending_prefill_tokens = 0;
             one.local_work.in_flight = one.short_lane ? 31 : 4;
         }
         CHECK_FALSE(entry.place(small).target.engine->short_lane);
     }
-    SECTION("but not in a pool that is too small to be divided") {
+    SECTION("a small pool is not divided") {
         world tiny(3);
         for (const auto& [id, one] : tiny.state.members) {
             CHECK_FALSE(one.short_lane);
@@ -349,9 +353,10 @@
     }
 }
 
-// Prompts of 9,000 tokens meet on engines that hold 72,000. With more of them than fit, the newest
-// is put back in the middle of its answer and read again when there is room, ever later.
-TEST_CASE("an engine whose memory is full gets no more prompts", "[kvcache]") {
+// Prompts of 9,000 tokens are sent to engines that hold 72,000. If more are sent than fit, the
+// engine preempts the newest in the middle of its response and prefills it again later, with
+// growing delays.
+TEST_CASE("an engine with full memory gets no more prompts", "[kvcache]") {
     world entry(38);
     const auto chain = chain_of(1);
     const auto home = entry.place(chain).target.engine;
@@ -361,12 +366,12 @@
     const auto second = entry.place(chain).target.engine;
     CHECK(second != home);
 
-    SECTION("over all entries") {
+    SECTION("the requests of other entries count too") {
         home->local_work.kv_tokens = 0;
         home->remote_work[{"entry-2"}] = {{.kv_tokens = 70000}, now + base::seconds(1)};
         CHECK(entry.place(chain).target.engine == second);
     }
-    SECTION("unless all that come next for the prompt are full") {
+    SECTION("the home is used if the next-ranked engines are full as well") {
         for (auto& [id, one] : entry.state.members) {
             one.local_work.kv_tokens = 70000;
         }
@@ -374,55 +379,56 @@
     }
 }
 
-// A save takes the store's link and its room, both of which all engines share.
-TEST_CASE("a prompt is saved once, where it is missing", "[kvcache]") {
+// A save uses the store's link and capacity, which all engines share.
+TEST_CASE("a prompt is saved once, to a store that does not hold it", "[kvcache]") {
     world entry(18);
     const auto chain = chain_of(1);
     const auto first = entry.place(chain);
     CHECK(first.save_to == store_in(first.target.engine->listed.zone));
 
-    SECTION("not again while the save is under way") {
+    SECTION("it is not saved again while a save is in progress") {
         entry.read(chain, *first.target.engine, now - base::seconds(1), true);
         CHECK(entry.place(chain).save_to.empty());
     }
-    SECTION("again when it does not show at the store") {
+    SECTION("it is saved again if the save does not appear in the store") {
         entry.read(chain, *first.target.engine, now - base::seconds(3), true);
         CHECK_FALSE(entry.place(chain).save_to.empty());
     }
-    SECTION("not when the store holds it already") {
+    SECTION("it is not saved if the store already holds it") {
         entry.keep(chain);
         CHECK(entry.place(chain).save_to.empty());
     }
-    SECTION("not by a request whose own part is larger than what is shared") {
+    SECTION("it is not saved if the unshared part is larger than the shared prefix") {
         CHECK_FALSE(entry.place(chain_of(1, 6200)).save_to.empty());
         CHECK(entry.place(chain_of(1, 6400)).save_to.empty());
     }
-    // The store takes no connections. Engines that were told to use it would wait for it with
-    // every prompt, so another one stands in.
-    SECTION("in another store while its own is down") {
+    // The store refuses connections. Engines instructed to use it would wait for it on every
+    // prompt, so another store is used in its place.
+    SECTION("it is saved in another store while its own is down") {
         kvcache::mark_down(entry.copies[first.save_to], now);
         const auto second = entry.place(chain);
         CHECK_FALSE(second.save_to.empty());
         CHECK(second.save_to != first.save_to);
     }
-    SECTION("nowhere when all are down") {
+    SECTION("it is not saved while all stores are down") {
         for (const auto& store : stores) {
             kvcache::mark_down(entry.copies[store.address], now);
         }
         CHECK(entry.place(chain).save_to.empty());
         CHECK(entry.place(chain).fetch_from.empty());
     }
-    // Whoever follows the store has fallen silent. What it holds is not known, and a vain question
-    // costs an engine a millisecond.
-    SECTION("and named as a source on the chance when nobody hears from the store") {
+    // The entry that follows the store has stopped reporting, so the store's contents are unknown.
+    // A fetch that finds nothing costs an engine only a millisecond.
+    SECTION("a store with unknown contents is named as a speculative source") {
         entry.copies.clear();
         CHECK(entry.place(chain).fetch_from == first.save_to);
     }
 }
 
-// Six stores in five availability zones: the second one of a zone was never named, and with 100
-// entries before 160 engines the links of the others were what prompts waited for.
-TEST_CASE("stores of one availability zone share its prompts", "[kvcache]") {
+// Guards against an unused store: with six stores in five availability zones, the second store of a
+// zone was never named. With 100 entries and 160 engines, prompts then waited for the links of the
+// other stores.
+TEST_CASE("prompts are distributed over all stores of an availability zone", "[kvcache]") {
     world grown(30);
     auto more = stores;
     more.push_back({"10.9.9.4:1", {"a"}, 1'200'000, 350'000});
--- a/src/kvcache/prompt_chain.h
+++ b/src/kvcache/prompt_chain.h
@@ -9,27 +9,28 @@
 
 namespace camphorrail::kvcache {
 
-// Where prompts share cached parts: one model and, for a team that shares with no other, that team.
+// The scope within which prompts share cached parts: one model and, for a team with an isolated
+// cache, that team.
 struct prompt_scope {
     base::model_id model;
-    // Empty for all teams that share.
+    // Empty for all teams that share their cache.
     base::team_id isolated_team;
 };
 
-// One shared level of a prompt.
+// One shared level of a prompt: the prefix up to the end of one of its parts.
 struct prompt_level {
-    // Made of the space and all parts up to this one. The same for all weights, so that a prompt's
-    // home does not move when weights change.
+    // Hash of the scope and of all parts up to this one. Independent of the weights, so that a
+    // prompt's home does not move when weights change.
     std::uint64_t key = 0;
-    // Of this level's own part alone, as engines and stores name it.
+    // Hash of the id of this level's own part, from which `part_key` derives the key in a store.
     std::uint64_t part_hash = 0;
     std::int64_t part_tokens = 0;
-    // Tokens up to and with this level.
+    // Tokens of all parts up to and including this level.
     std::int64_t prefix_tokens = 0;
 };
 
-// The shared levels of a prompt, outermost first. The last part belongs to the request itself and
-// is no level.
+// The shared levels of a prompt, outermost first. The prompt's last part belongs to a single
+// request and is not a level.
 struct prompt_chain {
     std::vector<prompt_level> levels;
     std::int64_t unshared_tokens = 0;
@@ -44,14 +45,14 @@
 
 prompt_chain make_chain(const prompt_scope& space, const std::vector<ports::prompt_part>& parts);
 
-// The name under which a prompt's parts are cached. It holds the weights' version, so that nothing
-// made by other weights is ever found, and the team where that shares with no other.
+// Returns the cache salt for a prompt's parts. It includes the version of the weights, so that
+// cache entries of other weights are never found, and the team if its cache is isolated.
 std::string make_salt(const prompt_scope& space, std::int64_t weights);
 
-// A level's key for one version of the weights.
+// Combines a level's key with a version of the weights.
 std::uint64_t key_for_weights(std::uint64_t level_key, std::int64_t weights);
 
-// A part as a store names it: by the salt and the part's own name.
+// Key of a part in a KV cache store, derived from the salt and the part's id.
 std::uint64_t part_key(const std::string& salt, const std::string& part_id);
 std::uint64_t part_key(const std::string& salt, const prompt_level& level);
 
--- a/src/kvcache/prompt_sources.cpp
+++ b/src/kvcache/prompt_sources.cpp
@@ -8,25 +8,28 @@
 
 constexpr double bits_per_byte = 8.0;
 constexpr double bits_per_ms_per_mbps = 1000.0;
-// Moving a token where the pool's figures are not known: 190 KB over 350 Gbit/s.
+// Default transfer time per token if the pool's figures are unknown: 190 KB at 350 Gbit/s.
 constexpr double default_fetch_ms_per_token = 0.0044;
-// Moves between availability zones take this many times as long.
+// Transfers across availability zones take this many times as long.
 constexpr double cross_zone_factor = 2.0;
-// A millisecond of an engine's reading delays all that wait there too, and is paid for; a
-// millisecond of waiting for a link delays this prompt alone.
+// Weight of prefill time relative to fetch time. A millisecond of prefill also delays all requests
+// queued at the engine and costs compute, while a millisecond of waiting for a link delays only
+// this prompt.
 constexpr double prefill_cost_weight = 2.0;
-// An engine that has read a prompt this recently may hold it, whatever it has read since.
+// An engine that has prefilled a prompt within this time may still hold it, regardless of its
+// estimated cache contents.
 constexpr base::seconds possible_retention{10};
-// A store's link is shared by the fetches and saves of all engines, which have one each.
+// Additional weight of fetches from a store, since the fetches and saves of all engines share its
+// link, while each engine has a link of its own.
 constexpr double store_link_weight = 1.2;
-// Engines do not begin a transfer that would wait for longer.
+// Engines do not start a transfer that would have to wait for longer than this.
 constexpr double max_transfer_wait_ms = 2000.0;
 
 double zone_factor(const base::availability_zone& one, const base::availability_zone& other) {
     return one == other ? 1.0 : cross_zone_factor;
 }
 
-// A member that can be asked for what it holds; null where it has left or fails.
+// Returns the member if it can serve fetches; null if it has left or is failing.
 const fleet::member* reachable_member(const base::upstream_id& id, const prompt_request& request,
                                       const placement_context& view) {
     const auto found = std::find_if(request.pool_members.begin(), request.pool_members.end(),
@@ -38,8 +41,8 @@
 
 enum class confidence { holds, perhaps };
 
-// The engine other than the target that read a level last and still holds it, or perhaps does; null
-// where there is none that can be asked.
+// Returns the engine, other than the target, that has prefilled a level most recently and still
+// holds it with the required confidence; null if there is none that can serve fetches.
 const fleet::member* latest_reader(const prompt_level& level, const candidate& target,
                                    const prompt_request& request, const placement_context& view,
                                    confidence wanted) {
@@ -70,7 +73,8 @@
                         static_cast<double>(level->prefix_tokens)};
         }
     }
-    // What an engine holds is worked out and may be wrong; a vain question costs a millisecond.
+    // The estimate of an engine's cache contents may be wrong; a fetch that finds nothing costs
+    // only a millisecond.
     const auto* once = latest_reader(levels.back(), target, request, view, confidence::perhaps);
     return once == nullptr ? prompt_source{} : prompt_source{once->listed.address, 0, 0.0};
 }
--- a/src/kvcache/prompt_sources.h
+++ b/src/kvcache/prompt_sources.h
@@ -6,36 +6,39 @@
 
 namespace camphorrail::kvcache {
 
-// Whoever can hand over the leading part of a prompt.
+// An engine or a KV cache store that can supply the leading part of a prompt.
 struct prompt_source {
-    // Empty where there is nobody.
+    // Empty if there is no source.
     std::string address;
-    // Tokens of the prompt that it probably has.
+    // Tokens of the prompt that the source probably holds.
     std::int64_t tokens = 0;
-    // How long until the engine has fetched them.
+    // Expected time until the engine has fetched them.
     double fetch_ms = 0.0;
 };
 
-// Tokens of the prompt that an engine probably holds itself, or will have read by the time that it
-// comes to this prompt.
+// Number of the prompt's tokens that an engine probably holds in its cache, or will have prefilled
+// by the time it processes this prompt.
 std::int64_t cached_tokens_at(const candidate& target, const prompt_request& request,
                               const placement_context& view);
 
-// The store that keeps a prompt: one in the zone of its home, since moves between zones take twice
-// as long; of several there the prompt picks one, so that all their links are used. Every entry and
-// engine finds it there. Null where there is none.
+// Selects the store that saves a prompt: a store in the availability zone of the prompt's home,
+// since transfers across zones take twice as long. If the zone has several stores, the prompt's key
+// selects one, so that all their links are used. All entries select the same store. Null if no
+// store is reachable.
 const routes::kv_store* select_store(const prompt_request& request, const placement_context& view,
                                      const fleet::member* home);
 
-// The source with which the engine has read the prompt soonest. An engine that has read the prompt
-// lately goes before the stores, whose links all fetches and saves share, and those before reading
-// it anew. One is named also where the engine holds the prompt as far as is known: it fetches only
-// what it lacks. `held`: what the target holds, in tokens; see held_by.
+// Returns the source with which the engine would finish the prompt's prefill earliest. An engine
+// that has prefilled the prompt recently is preferred to a store, whose link is shared by all
+// fetches and saves, and a store to prefilling again. A source is also named if the target probably
+// holds the prompt itself, since it fetches only what it lacks. `held` is the number of tokens that
+// the target holds; see `cached_tokens_at`.
 prompt_source best_source(const candidate& target, const prompt_request& request,
                           const placement_context& view, const routes::kv_store* store,
                           std::int64_t held);
 
-// Milliseconds that moving a token between two engines of a zone takes.
+// Time that transferring one token between two engines of an availability zone takes, in
+// milliseconds.
 double fetch_ms_per_token(const routes::pool& pool);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/size_fairness.cpp
+++ b/src/kvcache/size_fairness.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The size from which on a prompt is among the largest part of the record, which is not empty.
+// Returns the smallest size among the largest `part` of the recorded prompts. The history must not
+// be empty.
 std::int64_t large_prompt_threshold(const size_history& record, double part) {
     std::vector<std::int64_t> sizes;
     sizes.reserve(record.prompts.size());
@@ -23,7 +24,7 @@
     return *at;
 }
 
-// Which part of the prompts of at least this size was taken.
+// Share of the prompts with at least this size that were accepted.
 double accepted_share(const size_history& record, std::int64_t least_tokens) {
     int came = 0;
     int taken = 0;
@@ -51,7 +52,8 @@
     if (!should_reject(prompt.first_byte_ms, prompt.wait_ms, prompt.target)) {
         return admission_decision::accepted;
     }
-    // Behind a wait of the whole target the smallest are refused too, and nobody is favoured.
+    // If the wait alone exceeds the target, even the smallest prompts are rejected, so no prompt is
+    // treated unfairly due to its size.
     const bool is_refused_for_size = prompt.wait_ms < static_cast<double>(prompt.target.count());
     return is_refused_for_size && is_underserved(record, prompt.tokens, rules)
                ? admission_decision::accepted_for_fairness
--- a/src/kvcache/size_fairness_tests.cpp
+++ b/src/kvcache/size_fairness_tests.cpp
@@ -14,15 +14,15 @@
 namespace {
 
 constexpr base::milliseconds target{1000};
-// Callers leave after this long without a first event.
+// Clients give up after this long without a first event.
 constexpr int client_timeout_ms = 4000;
 constexpr double tokens_per_ms = 61.0;
 constexpr std::size_t engine_count = 6;
-// A third more than the engines can read, for as long as the day lasts.
+// A third more than the engines can prefill, for the whole simulation.
 constexpr double overload = 1.35;
 constexpr int span_ms = 60000;
 
-// A tenth of the prompts are large, two tenths are of middle size.
+// A tenth of the prompts are large, two tenths are of medium size.
 enum size_class : std::size_t { ordinary, middle, large };
 constexpr std::array<std::int64_t, 3> tokens_of{5000, 15000, 32000};
 constexpr double mean_tokens = 0.7 * 5000 + 0.2 * 15000 + 0.1 * 32000;
@@ -45,7 +45,7 @@
     tally all;
 };
 
-// The entry's decision: whether a prompt is taken by an engine that is busy for `wait_ms`.
+// Simulates an entry's decision whether an engine that is busy for `wait_ms` accepts a prompt.
 struct entry {
     kvcache::size_history record;
 
@@ -62,7 +62,8 @@
     return drawn < 0.7 ? ordinary : drawn < 0.9 ? middle : large;
 }
 
-// Engines that read one prompt after the other, and callers who come back once after a refusal.
+// Simulates engines that prefill one prompt after the other, and clients that retry once after a
+// rejection.
 outcome run_day() {
     base::random_source random{11};
     entry taking;
@@ -113,20 +114,22 @@
 
 } // namespace
 
-// Callers of the largest tenth of a route's prompts are refused, come back when told to, and are
-// refused again, for as long as a pool is behind, while nearly all others are answered: a prompt is
-// refused where it would come late, and theirs are late after the shortest wait.
-TEST_CASE("a pool that stays behind does not serve the ordinary prompts alone", "[kvcache]") {
+// Guards against starvation of large prompts. Clients with the largest tenth of a route's prompts
+// are rejected, retry after the given delay, and are rejected again for as long as the pool is
+// overloaded, while nearly all others are served: prompts that would be late are rejected, and
+// large ones are late after the shortest wait.
+TEST_CASE("a pool in persistent overload does not serve only ordinary prompts", "[kvcache]") {
     const auto day = run_day();
     CAPTURE(day.all.share(), day.by_size[ordinary].share(), day.by_size[middle].share(),
             day.by_size[large].share());
     CHECK(day.by_size[large].share() >= 0.5 * day.all.share());
     CHECK(day.by_size[middle].share() >= 0.5 * day.all.share());
-    // The others pay for it with few places.
+    // Large prompts displace only a few others.
     CHECK(day.all.share() > 0.85);
 }
 
-TEST_CASE("a prompt is refused for its size only as long as its like are taken", "[kvcache]") {
+TEST_CASE("a prompt is rejected due to its size only while enough similar ones are accepted",
+          "[kvcache]") {
     const kvcache::size_fairness_rules rules;
     kvcache::size_history record;
     const auto judge = [&](std::int64_t tokens, double wait_ms, double first_byte_ms) {
@@ -138,18 +141,19 @@
     constexpr std::int64_t small = 1000;
     constexpr std::int64_t big = 30000;
 
-    SECTION("and always where so few came that nothing is known") {
+    SECTION("it is rejected if there are too few prompts to compute rates") {
         come(20, small, true);
         come(5, big, false);
         CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
-    SECTION("as while half as many of them are taken as of all") {
+    SECTION("it is rejected while the acceptance rate of its size is at least half of the overall "
+            "rate") {
         come(45, small, true);
         come(5, big, true);
         come(3, big, false);
         CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
-    SECTION("else it is taken, unless it would wait for the whole target") {
+    SECTION("it is accepted below that rate, unless the wait alone takes the whole target") {
         come(45, small, true);
         come(1, big, true);
         come(9, big, false);
@@ -157,7 +161,7 @@
         CHECK(judge(big, 600, 1100) == kvcache::admission_decision::accepted_for_fairness);
         CHECK(judge(small, 990, 1010) == kvcache::admission_decision::rejected);
     }
-    SECTION("and what came long ago does not count") {
+    SECTION("prompts outside of the window do not count") {
         come(50, big, false);
         for (std::size_t each = 0; each < rules.window_size; ++each) {
             CHECK(judge(small, 0, 50) == kvcache::admission_decision::accepted);
--- a/src/kvcache/store_index.cpp
+++ b/src/kvcache/store_index.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// News of a store comes four times a second, also when nothing has changed; a follower that ends is
-// replaced within two seconds.
+// Updates of a store arrive four times per second, even if nothing has changed. If the entry that
+// follows a store terminates, another one takes over within two seconds.
 constexpr base::seconds max_update_age{3};
-// Stores and engines hold parts in blocks of some tokens; a part that lacks more than this has
-// begun to yield.
+// Fraction of a part that must be present. Stores and engines hold parts in blocks of tokens, so a
+// few tokens may be missing; a part that lacks more is being evicted.
 constexpr double min_held_fraction = 0.9;
 
 bool holds(const store_contents& store, std::uint64_t part, std::int64_t tokens) {
--- a/src/kvcache/store_index_tests.cpp
+++ b/src/kvcache/store_index_tests.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("what a store of kept cache holds is known from its events", "[kvcache]") {
+TEST_CASE("contents of a KV cache store are tracked from its events", "[kvcache]") {
     const auto chain =
         kvcache::make_chain(space, {{"agency", {2520}}, {"history", {3780}}, {"own", {100}}});
     kvcache::store_index copies;
@@ -28,23 +28,23 @@
     CHECK(kvcache::is_up_to_date(copies, address, now));
     CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 6300);
 
-    SECTION("under the salt that it was saved with only") {
+    SECTION("a part is found only under the salt it was saved with") {
         CHECK(kvcache::stored_tokens(copies, address, chain, kvcache::make_salt(space, 2)) == 0);
     }
-    SECTION("level by level, since a part is of no use without those before it") {
+    SECTION("levels count only if all levels before them are present") {
         kvcache::apply_changes(store, {held("history", 128)}, now);
         CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 2520);
         kvcache::apply_changes(store, {held("history", 3780), held("agency", 0)}, now);
         CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 0);
     }
-    SECTION("until it is gone: it comes back empty") {
+    SECTION("an unreachable store counts as empty until its next listing") {
         kvcache::mark_down(store, now);
         CHECK(store.down);
         CHECK(kvcache::stored_tokens(copies, address, chain, salt) == 0);
         kvcache::apply_listing(store, {}, now);
         CHECK_FALSE(store.down);
     }
-    SECTION("and until nobody has heard from it for some seconds") {
+    SECTION("contents expire if no event arrives for several seconds") {
         CHECK_FALSE(kvcache::is_up_to_date(copies, address, now + base::seconds(4)));
     }
 }
--- a/src/latency/first_byte.cpp
+++ b/src/latency/first_byte.cpp
@@ -11,22 +11,23 @@
 using vector = first_byte_model::vector;
 constexpr std::size_t term_count = first_byte_model::term_count;
 
-// Half of what is remembered is from this long ago: long enough for twenty prompts of the slowest
-// traffic seen, short enough to follow engines that turn slow.
+// Half-life of the samples' weight: long enough to cover twenty prompts under the lowest traffic
+// observed, short enough to follow engines that slow down.
 constexpr double half_life_s = 10.0;
-// What the figures from before the first sample weigh, and where they hold: a short prompt, and
-// prompts of these many tokens.
+// Weight of each prior sample, and the samples' prompt sizes in tokens. They keep predictions
+// plausible for short prompts and for lengths without recent samples.
 constexpr double prior_weight = 2.0;
 constexpr std::array<double, term_count> prior_prompt_tokens{0.0, 4000.0, 16000.0};
-// Samples that lie farther off than this many spreads weigh less.
+// Samples that deviate by more than this multiple of the average deviation get less weight.
 constexpr double full_weight_deviations = 1.5;
-// One sample says at most that samples lie this many times as far off as before; many in a row mean
+// Limits how much one sample can raise the average deviation; only a run of such samples indicates
 // that the engines have changed.
 constexpr double max_deviations = 3.0;
 constexpr double min_deviation_ms = 10.0;
 constexpr double max_deviation_ms = 500.0;
 constexpr double deviation_step = 0.05;
-// Engines that read fewer or more tokens a millisecond than from 2 to 300 are not known.
+// Limits of the coefficients. Engines are known to prefill between 2 and 300 tokens per
+// millisecond.
 constexpr double min_token_ms = 0.003;
 constexpr double max_token_ms = 0.5;
 constexpr double max_million_pairs_ms = 10.0;
@@ -53,8 +54,8 @@
     }
 }
 
-// Three made-up samples of what is believed at the start; they never fade, so that few samples of
-// one length say nothing absurd of another.
+// Adds three artificial samples of the initial coefficients. They do not decay, so that a few
+// samples of one length do not lead to absurd predictions for other lengths.
 void add_prior(first_byte_model& model) {
     static const first_byte_model unseen;
     for (const double tokens : prior_prompt_tokens) {
@@ -63,7 +64,8 @@
     }
 }
 
-// Solves the normal equations by elimination; false where they have no one solution.
+// Solves the normal equations by Gaussian elimination with pivoting; false if the matrix is
+// singular.
 bool solve(std::array<vector, term_count> rows, vector right, vector& solution) {
     constexpr double singular_pivot = 1e-9;
     for (std::size_t pivot = 0; pivot < term_count; ++pivot) {
--- a/src/latency/first_byte_tests.cpp
+++ b/src/latency/first_byte_tests.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// An engine that reads `a_ms` tokens a millisecond after `fixed` ms, and takes `pair` ms for a
-// million pairs.
+// An engine that prefills `tokens_per_ms` tokens per millisecond after `fixed` ms, and takes `pair`
+// ms per million attention pairs.
 struct engine_kind {
     double fixed;
     double tokens_per_ms;
@@ -28,7 +28,8 @@
     return base::instant{base::micros(static_cast<std::int64_t>(seconds * 1e6))};
 }
 
-// Prompts of all lengths, ten a second, one in ten far slower than the engine by itself.
+// Adds samples of prompts of all lengths, ten per second; one in ten is delayed by a stall of three
+// seconds.
 void add_samples(latency::first_byte_model& model, const engine_kind& kind, double from_s,
                  int count) {
     base::random_source random{5};
@@ -42,9 +43,10 @@
 
 } // namespace
 
-// Three pools of engines that differ by three in speed. With one pool's figures, another's prompts
-// were placed and refused by times that were ten times too short.
-TEST_CASE("the time to the first event is learned from what engines show", "[latency]") {
+// Guards against fixed constants: the engines of three pools differ in speed by a factor of three.
+// With the constants of one pool, prompts of another were placed and rejected based on predictions
+// that were ten times too short.
+TEST_CASE("the time to the first event is learned from observed requests", "[latency]") {
     const auto kind =
         GENERATE(engine_kind{95, 48, 0.5}, engine_kind{8, 100, 0.3}, engine_kind{65, 75, 0.35});
     latency::first_byte_model model;
@@ -56,7 +58,7 @@
               Approx(kind.ms(work)).epsilon(0.25).margin(10.0));
     }
 
-    SECTION("and anew within seconds when they turn slow") {
+    SECTION("it adapts within seconds when engines slow down") {
         const engine_kind slow{kind.fixed * 2, kind.tokens_per_ms / 2, kind.pair * 2};
         add_samples(model, slow, 15.0, 300);
         const auto work = prompt_of(12000.0, 0.0);
@@ -64,15 +66,15 @@
     }
 }
 
-TEST_CASE("before anything was seen, expectations are those of a middling engine", "[latency]") {
+TEST_CASE("predictions without samples are those of an average engine", "[latency]") {
     const latency::first_byte_model model;
     const double expected = latency::expected_first_byte_ms(model, prompt_of(10000.0, 0.0));
     CHECK(expected > 100.0);
     CHECK(expected < 300.0);
 }
 
-// An engine stalls for two seconds, and a dozen prompts are shown to take ten times as long.
-TEST_CASE("a burst of faults does not move what is expected of the pool", "[latency]") {
+// An engine stalls for two seconds, and a dozen prompts appear to take ten times as long.
+TEST_CASE("a burst of faults does not shift the prediction for the pool", "[latency]") {
     const engine_kind kind{20, 80, 0.4};
     latency::first_byte_model model;
     add_samples(model, kind, 0.0, 200);
@@ -84,7 +86,8 @@
     CHECK(latency::expected_first_byte_ms(model, work) < 1.8 * before);
 }
 
-TEST_CASE("what one length shows says nothing absurd of others", "[latency]") {
+TEST_CASE("samples of one prompt length give plausible predictions for other lengths",
+          "[latency]") {
     latency::first_byte_model model;
     for (int each = 0; each < 200; ++each) {
         latency::record_first_byte(model, {prompt_of(400.0, 0.0), 110.0}, at(each * 0.05));
--- a/src/prefix/prefix_chain.cpp
+++ b/src/prefix/prefix_chain.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// One piece of a few thousand tokens, the size in which engines move their cache.
+// Size of a piece in bytes, about two thousand tokens, the granularity in which engines transfer
+// their cache.
 constexpr std::size_t split_bytes = 8192;
 
 std::uint64_t scope_key(const cache_scope& scope) {
--- a/src/prefix/prefix_chain_tests.cpp
+++ b/src/prefix/prefix_chain_tests.cpp
@@ -8,7 +8,7 @@
     const prefix::cache_scope desk{{"quay"}, {"desk-8b"}, "w1"};
     const auto chain = prefix::make_chain(desk, {"agency", "history", "request"});
 
-    SECTION("share the levels that two prompts have in common, and no more") {
+    SECTION("share exactly the levels that two prompts have in common") {
         const auto other = prefix::make_chain(desk, {"agency", "history", "another"});
         REQUIRE(chain.size() == 3);
         CHECK(chain[1].key == other[1].key);
@@ -16,8 +16,9 @@
     }
 
     // An engine still holds blocks of another team, or of the weights before a reload. The same
-    // text must not lead there: the caller would get an answer built on state that is not its own.
-    SECTION("never meet across teams, models or weights") {
+    // text must not match these blocks: the client would get a response computed from another
+    // scope's state.
+    SECTION("never share levels across teams, models or weights") {
         const std::vector<prefix::cache_scope> others{{{"pier"}, {"desk-8b"}, "w1"},
                                                       {{"quay"}, {"log-70b"}, "w1"},
                                                       {{"quay"}, {"desk-8b"}, "w2"}};
@@ -29,7 +30,7 @@
         }
     }
 
-    SECTION("cut a long part into pieces, and keep to the most levels allowed") {
+    SECTION("split a long part into pieces, and are limited to the maximum number of levels") {
         const auto shorter = prefix::make_chain(desk, {std::string(20000, 'a') + "x"});
         const auto longer = prefix::make_chain(desk, {std::string(20000, 'a') + "y"});
         CHECK(shorter.size() == 3);
--- a/src/routing/affinity.h
+++ b/src/routing/affinity.h
@@ -10,8 +10,8 @@
 
 namespace camphorrail::routing {
 
-// One upstream that an entry saw serving a prefix level, and when. It holds only for the engine's
-// life it was seen in.
+// An upstream that this entry saw serving a prefix level, and when. Only valid for the engine
+// incarnation in which it was seen.
 struct holder {
     std::uint64_t upstream = 0;
     std::int64_t engine_incarnation = 0;
@@ -20,8 +20,9 @@
 
 inline constexpr std::size_t holders_per_level = 4;
 
-// Which upstreams probably hold which prefix levels: a bounded memory of this entry's own traffic.
-// It is a hint and nothing more. A wrong one costs a miss; the engine's own cache decides.
+// Upstreams that probably hold each prefix level in their cache: a bounded LRU table of this
+// entry's own traffic. It contains only hints. A wrong hint costs a cache miss; the engine's own
+// cache is authoritative.
 struct affinity_table {
     struct level_record {
         std::uint64_t key = 0;
@@ -32,13 +33,13 @@
     std::unordered_map<std::uint64_t, std::list<level_record>::iterator> by_key;
 };
 
-// The record of a level, or nothing.
+// Returns the record of a level, or null.
 const affinity_table::level_record* find(const affinity_table& table, std::uint64_t level_key);
 
-// An upstream has just served this level, and so holds it now.
+// Records that an upstream has just served this level, and therefore holds it now.
 void add_holder(affinity_table& table, std::uint64_t level_key, const holder& seen);
 
-// An upstream turned out not to hold this level.
+// Records that an upstream does not hold this level.
 void remove_holder(affinity_table& table, std::uint64_t level_key, std::uint64_t upstream);
 
 } // namespace camphorrail::routing
--- a/src/routing/engine_view.cpp
+++ b/src/routing/engine_view.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double prefill_rate_step = 0.05;
-// Notes older than this lead to caches that have long let the prefix go.
+// Older notes refer to caches that have probably evicted the prefix.
 constexpr base::micros max_note_age = base::seconds(60);
-// Shorter prefills say more about the engine's other work than about its speed.
+// Shorter prefills are dominated by the engine's other work and do not show its speed.
 constexpr std::int64_t min_measured_prefill_tokens = 256;
 
 } // namespace
@@ -18,7 +18,8 @@
     engine_view view;
     set_members(view.pool, {self}, {{}});
     view.rules.random_choices = 0;
-    // Every order of the engine passes here: what was not seen is not cached.
+    // All requests to the engine pass through the agent, so a prefix that it has not seen is not
+    // cached.
     for (auto& at_depth : view.pool.home_priors) {
         at_depth.by_rank.fill({0.02});
     }
--- a/src/routing/engine_view.h
+++ b/src/routing/engine_view.h
@@ -10,8 +10,9 @@
 
 namespace camphorrail::routing {
 
-// What the agent knows of its own engine: how fast it computes, and what it probably has cached.
-// It is an entry's view of a pool with one member, fed with every answer of the engine.
+// An agent's view of its own engine: its prefill speed, and what it probably has cached.
+// Implemented as an entry's view of a pool with one member, updated with every response of the
+// engine.
 struct engine_view {
     pool_view pool;
     affinity_table table;
@@ -22,11 +23,12 @@
 
 engine_view make_engine_view(const base::upstream_id& self);
 
-// The engine's life, as it reports it. Everything known of an earlier one is void.
+// Records the engine's incarnation as reported by the engine. Everything known about earlier
+// incarnations becomes invalid.
 void record_incarnation(engine_view& view, std::int64_t engine_incarnation, base::instant now);
 
-// Time the engine will need for the part of a prompt that it does not have cached, and what that
-// was expected by.
+// Predicted prefill time for the part of a prompt that the engine does not have cached, and the
+// basis of that prediction.
 struct work_estimate {
     base::micros work{0};
     prediction_basis basis;
@@ -34,10 +36,11 @@
 work_estimate estimate_work(const engine_view& view, const prefix::prefix_chain& chain,
                             base::instant now);
 
-// An order was taken: its shared levels will be cached by the time a later one's turn comes.
+// Records that a request was accepted: its shared levels will be cached by the time that a later
+// request is processed.
 void record_accepted(engine_view& view, const prefix::prefix_chain& chain, base::instant now);
 
-// An order was served. `prefill` is the time from its start to its first token.
+// Records that a request was served. `prefill` is the time from its start to its first token.
 void record_served(engine_view& view, const prefix::prefix_chain& chain,
                    const prediction_basis& basis, base::tokens cached, base::micros prefill,
                    base::instant now);
@@ -45,24 +48,26 @@
 // Whether the engine probably has a level cached.
 bool probably_cached(const engine_view& view, std::uint64_t level_key, base::instant now);
 
-// What an agent decides about an order that was sent to it as its shared prefix's home.
+// An agent's decision about a request that was sent to it as the home of its shared prefix.
 struct probe_result {
     bool forward = false;
     // Hashes of the upstreams that hold the shared prefix.
     std::vector<std::uint64_t> holders;
 };
 
-// Tunables of that decision; docs/MEASUREMENTS.md says which run chose them.
+// Parameters of that decision.
 struct probe_rules {
-    // A prompt that is cached nowhere is passed on when it would wait longer than this here.
+    // A prompt that is cached nowhere is forwarded if it would wait longer than this at the home.
     base::micros max_wait = base::milliseconds(100);
-    // A cached one waits as long as computing it elsewhere would take, times this.
+    // A prompt that is cached here is forwarded only if it would wait longer than its prefill
+    // elsewhere would take, multiplied by this.
     double recompute_weight = 1.0;
 };
 
-// `notes` is the home's memory of who holds the prefixes it is home of; `wait` the time until the
-// order's prefill would begin here. Decided where cache and queue are known exactly, so an entry
-// with an old view loses one hop and not a recomputation.
+// `notes` records which upstreams hold the prefixes that this agent's engine is home to; `wait` is
+// the time until the request's prefill would begin here. The decision is made at the home, where
+// cache and queue are known exactly, so that an entry with an outdated view costs one hop instead
+// of a second prefill.
 probe_result evaluate_probe(const engine_view& view, const affinity_table& notes,
                             const prefix::prefix_chain& chain, base::micros wait, base::instant now,
                             const probe_rules& rules);
--- a/src/routing/engine_view_tests.cpp
+++ b/src/routing/engine_view_tests.cpp
@@ -11,7 +11,7 @@
     routing::record_incarnation(view, 1, now);
     const auto basis = routing::estimate_work(view, chain, now).basis;
 
-    SECTION("expects less work for a prefix that the engine keeps serving from its cache") {
+    SECTION("predicts less work for a prefix that the engine repeatedly serves from its cache") {
         const auto cold = routing::estimate_work(view, chain, now).work;
         for (int order = 0; order < 200; ++order) {
             routing::record_served(view, chain, basis, {8000}, base::milliseconds(10), now);
@@ -19,7 +19,7 @@
         CHECK(routing::estimate_work(view, chain, now).work < cold / 4);
     }
 
-    SECTION("learns the engine's speed from prefills long enough to tell") {
+    SECTION("learns the engine's speed only from sufficiently long prefills") {
         for (int order = 0; order < 200; ++order) {
             routing::record_served(view, chain, basis, {0}, base::micros(8100 * 40), now);
         }
--- a/src/routing/popularity.cpp
+++ b/src/routing/popularity.cpp
@@ -17,7 +17,7 @@
     item.at = now;
 }
 
-// Makes room by dropping what counts least by now.
+// Drops the prefix with the lowest decayed weight.
 void evict_smallest(popularity& seen, base::instant now) {
     const auto least = std::min_element(
         seen.counts.begin(), seen.counts.end(), [&](const auto& left, const auto& right) {
--- a/src/routing/popularity.h
+++ b/src/routing/popularity.h
@@ -8,8 +8,8 @@
 
 namespace camphorrail::routing {
 
-// How much of an entry's recent traffic each prefix makes up. Counts fade with time, so that a
-// shift of the hot prefixes shows within seconds; the number of prefixes kept is bounded.
+// Shares of prefixes in an entry's recent traffic. Counts decay exponentially, so that a shift of
+// the popular prefixes shows within seconds; the number of tracked prefixes is bounded.
 struct popularity {
     struct count {
         double weight = 0;
@@ -23,7 +23,8 @@
 
 void record_request(popularity& seen, std::uint64_t prefix, base::instant now);
 
-// From 0 to 1. Entries behind one balancer see about the same shares without telling each other.
+// Share of a prefix, from 0 to 1. Entries behind the same load balancer compute about the same
+// shares without communicating.
 double traffic_share(const popularity& seen, std::uint64_t prefix, base::instant now);
 
 } // namespace camphorrail::routing
--- a/src/routing/popularity_tests.cpp
+++ b/src/routing/popularity_tests.cpp
@@ -14,7 +14,7 @@
         }
     };
 
-    SECTION("follow a shift of the hot prefix") {
+    SECTION("follow a shift of the most popular prefix") {
         traffic(1, 2000);
         CHECK(routing::traffic_share(seen, 1, now) == Approx(0.5).margin(0.01));
         traffic(2, 4000);
@@ -22,7 +22,7 @@
         CHECK(routing::traffic_share(seen, 2, now) > 0.4);
     }
 
-    SECTION("are kept for a bounded number of prefixes, the hot ones among them") {
+    SECTION("are kept for a bounded number of prefixes, including the most popular ones") {
         seen.capacity = 50;
         traffic(1, 500);
         CHECK(seen.counts.size() <= 50);
--- a/src/routing/rendezvous.cpp
+++ b/src/routing/rendezvous.cpp
@@ -6,7 +6,8 @@
 
 std::vector<std::size_t> rank_members(const std::vector<std::uint64_t>& members, std::uint64_t key,
                                       std::size_t count) {
-    // `count` is two or three: an insertion into a short list beats sorting all members.
+    // `count` is usually two or three, so inserting into a short list is faster than sorting all
+    // members.
     std::vector<std::pair<std::uint64_t, std::size_t>> best;
     best.reserve(count + 1);
     for (std::size_t index = 0; index < members.size(); ++index) {
--- a/src/routing/rendezvous.h
+++ b/src/routing/rendezvous.h
@@ -6,17 +6,17 @@
 
 namespace camphorrail::routing {
 
-// Rendezvous hashing: each member has a score for a key, and the highest ones are the key's homes.
-// When a member goes, only its own keys move.
+// Rendezvous hashing: each member has a score for a key, and the members with the highest scores
+// are the key's homes. Removing a member moves only the keys whose home it was.
 
-// Score of a member for a key; both are hashes already.
+// Score of a member for a key; both must already be hashes.
 inline std::uint64_t score(std::uint64_t member, std::uint64_t key) {
     std::uint64_t bits = member ^ (key * 0x9e3779b97f4a7c15ULL);
     bits = (bits ^ (bits >> 32U)) * 0xd6e8feb86659fd93ULL;
     return bits ^ (bits >> 32U);
 }
 
-// The indexes of the `count` members with the highest scores, highest first. Equal scores go to the
+// Returns the indexes of the `count` members with the highest scores, highest first. Ties go to the
 // lower index.
 std::vector<std::size_t> rank_members(const std::vector<std::uint64_t>& members, std::uint64_t key,
                                       std::size_t count);
--- a/src/routing/rendezvous_tests.cpp
+++ b/src/routing/rendezvous_tests.cpp
@@ -9,7 +9,7 @@
 
 using namespace camphorrail;
 
-TEST_CASE("rendezvous homes", "[routing]") {
+TEST_CASE("homes by rendezvous hashing", "[routing]") {
     std::vector<std::uint64_t> members;
     members.reserve(21);
     for (int index = 0; index < 21; ++index) {
@@ -27,7 +27,7 @@
         CHECK(*std::max_element(load.begin(), load.end()) < 1150);
     }
 
-    SECTION("move only the keys of a member that went, each to its second home") {
+    SECTION("only the keys of a removed member move, each to its second home") {
         for (int round = 0; round < 1000; ++round) {
             const auto key = base::random_bits(random);
             const auto before = routing::rank_members(members, key, 2);
@@ -40,7 +40,7 @@
         }
     }
 
-    SECTION("are all members where fewer are there than asked for") {
+    SECTION("are all members if fewer exist than requested") {
         CHECK(routing::rank_members({5, 6}, 1, 3).size() == 2);
         CHECK(routing::rank_members({}, 1, 3).empty());
     }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr double first_bucket_us = 62500;
-// Part of a level's own tokens that must have been cached for it to count as found: the engine's
-// blocks do not end where our levels do.
+// Share of a level's own tokens that must have been cached for a hit, since the engine's blocks are
+// not aligned with levels.
 constexpr double min_hit_fraction = 0.5;
-// A home is told again of a prefix it was told of this long ago: its note may have been let go.
+// A home is notified again of the same prefix after this time, since it may have dropped its note.
 constexpr base::micros notify_interval = base::seconds(5);
 
 std::size_t age_bucket(base::micros age) {
@@ -32,7 +32,8 @@
         return nullptr;
     }
     for (const holder& item : record->holders) {
-        // A hint from an earlier life of the engine is void: its cache went with that life.
+        // A hint from an earlier incarnation of the engine is invalid, since the engine has lost
+        // its cache.
         if (item.upstream == view.hash &&
             item.engine_incarnation == view.health.engine_incarnation) {
             return &item;
@@ -41,9 +42,9 @@
     return nullptr;
 }
 
-// The homes of each level of a chain, so that they are found once a request. Homes are nested: a
-// deeper level's are among those of the outermost one. The histories of one agency, hashed each by
-// itself, would put the agency's own long prefix into every engine's cache.
+// Homes of each level of a chain, computed once per request. Homes are nested: those of a deeper
+// level are among those of the outermost one. If the histories of one agency were hashed
+// independently, the agency's own long prefix would end up in every engine's cache.
 using level_homes = std::vector<std::vector<std::size_t>>;
 
 std::size_t home_count(const pool_view& pool, std::uint64_t key, base::instant now,
@@ -79,7 +80,7 @@
     const std::uint64_t outermost = chain.front().key;
     found.push_back(rank_members(pool.hashes, outermost, home_count(pool, outermost, now, rules)));
     for (std::size_t level = 1; level < chain.size(); ++level) {
-        // A prompt's own end is nobody else's and has no home but its shared prefix's.
+        // The prompt's last level is not shared and has no homes except those of its shared prefix.
         const bool is_unshared_tail = level + 1 == chain.size();
         found.push_back(is_unshared_tail ? found.back()
                                          : rank_within(pool, found.front(), chain[level].key));
@@ -111,7 +112,8 @@
     return basis;
 }
 
-// Expected cached tokens of the chain at one upstream. A cached level implies the shorter ones.
+// Expected number of the chain's tokens that are cached at one upstream. A cached level implies
+// that the shorter ones are cached.
 double expected_cached(const pool_view& pool, const affinity_table& table,
                        const prefix::prefix_chain& chain, const level_homes& home_of,
                        std::size_t index, base::instant now) {
@@ -133,7 +135,7 @@
 
 base::micros expected_wait(const upstream_view& view, base::instant now,
                            const routing_rules& rules) {
-    // The reported backlog is worked off while the report ages.
+    // The upstream works off the reported backlog while the report ages.
     const base::micros since = now - view.reported_at;
     base::micros wait =
         std::max(base::micros{0}, view.reported_wait + view.unreported_work - since);
@@ -220,7 +222,7 @@
         [&](const upstream_view& view) { return find_holder(table, key, view) != nullptr; });
 }
 
-// The home of a shared prefix that this entry knows no holder of.
+// Chooses the home of the shared prefix if this entry knows no holder of that prefix.
 std::optional<choice> probe_home_upstream(const pool_view& pool, const affinity_table& table,
                                           const routing_request& request,
                                           const level_homes& home_of, base::instant now,
@@ -281,7 +283,8 @@
     if (auto best = cheapest(pool, table, request, home_of, candidates, now, rules)) {
         return best;
     }
-    // All candidates are out or were tried. Any other upstream is better than a refusal.
+    // All candidates are unavailable or were already tried. Any other upstream is better than
+    // rejecting the request.
     std::vector<std::size_t> all(pool.upstreams.size());
     for (std::size_t index = 0; index < all.size(); ++index) {
         all[index] = index;
--- a/src/routing/router_tests.cpp
+++ b/src/routing/router_tests.cpp
@@ -47,18 +47,19 @@
     routing::record_served(pool, table, pool.upstreams[home].id, chain, first->basis, {0}, now,
                            rules);
 
-    SECTION("goes back to where the prefix was served") {
+    SECTION("returns to the upstream that served the prefix") {
         CHECK(pick({&chain}, now)->index == home);
     }
 
-    SECTION("goes elsewhere once waiting there costs more than computing the prefix again") {
+    SECTION("switches upstreams once waiting costs more than prefilling the prefix again") {
         report(pool, home, base::seconds(5), now);
         CHECK(pick({&chain}, now)->index != home);
     }
 
-    // The engine crashed and came back with an empty cache. Hints of its earlier life would send
-    // its old prefixes there as if they were cached, and each would be computed again.
-    SECTION("does not trust what was seen in an earlier life of the engine") {
+    // The engine crashed and restarted with an empty cache. Hints from its earlier incarnation
+    // would direct its former prefixes there as if they were cached, and each would be prefilled
+    // again.
+    SECTION("ignores hints from an earlier incarnation of the engine") {
         const auto before = pick({&chain}, now)->expected_cached;
         report(pool, home, base::micros{0}, now, 2);
         const auto later = now + base::seconds(60);
@@ -69,7 +70,8 @@
         CHECK(record->holders[0].engine_incarnation != 2);
     }
 
-    SECTION("never picks one that leaves, is ejected or was tried, and says so when none is left") {
+    SECTION("never picks an upstream that is draining, ejected or already tried; returns nothing "
+            "if none is left") {
         routing::routing_request request{&chain};
         for (auto& view : pool.upstreams) {
             if (&view != &pool.upstreams[3]) {
@@ -81,7 +83,7 @@
         CHECK_FALSE(pick(request, now));
     }
 
-    SECTION("keeps what it knows of the upstreams that stay when the members change") {
+    SECTION("keeps the state of remaining upstreams when the members change") {
         report(pool, home, base::seconds(3), now);
         const auto id = pool.upstreams[home].id;
         routing::set_members(pool, {{"new"}, id}, {{}, {}});
--- a/src/weights/drain.h
+++ b/src/weights/drain.h
@@ -6,43 +6,45 @@
 
 namespace camphorrail::weights {
 
-// An upstream that is about to change its weights and gets nothing new any more.
+// An upstream that is about to change its weights and receives no new requests.
 struct drain_progress {
-    // For how long it has been getting nothing new.
+    // Time since the upstream last received new requests.
     base::micros elapsed{0};
-    // Calls under way there that would be lost if it cut them off.
+    // Requests in flight that would be lost if the upstream aborted them, since they can't be
+    // retried.
     std::int64_t non_retryable = 0;
 };
 
 struct drain_rules {
-    // Most of what takes about as long as a prompt's reading ends within this time.
+    // Minimum drain time. Most requests whose duration is dominated by prefill complete within it.
     base::micros min_duration = base::milliseconds(400);
-    // Calls that may not be cut off are waited for up to this time; from then on the upstream
-    // itself finishes them before it changes.
+    // Maximum wait for requests that can't be retried; after that, the upstream itself completes
+    // them before it changes its weights.
     base::micros max_duration = base::milliseconds(1200);
-    // From this part of their slots on, the upstreams that go on serving can't take over what one
-    // of them cuts off.
+    // Above this share of taken slots, the remaining upstreams can't take over the requests that
+    // one of them aborts.
     double crowded_utilization = 0.5;
 };
 
-// Whether the change may be ordered now.
+// Whether the change of weights may be ordered now.
 //
-// Answers that may go on elsewhere are not waited for. They take several seconds, and an upstream
-// that finishes them serves nobody else meanwhile: a pool that has lost some of its upstreams would
-// lose a third of the rest for as long as the new weights go through it.
+// Responses that can be continued on another upstream are not waited for. They take several
+// seconds, and a draining upstream gets no new requests: a pool that has lost some of its upstreams
+// would lose a third of the remaining ones for the duration of the rollout.
 bool is_drained(const drain_progress& one, const drain_rules& rules);
 
-// A pool of which one upstream is about to change its weights.
+// Load of a pool in which one upstream is about to change its weights.
 struct pool_load {
-    // Requests under way at all of its upstreams.
+    // Requests in flight at all of the pool's upstreams.
     std::int64_t in_flight = 0;
-    // Requests that the others can run at once, without those that are in change or out of order.
+    // Slots of the other upstreams, without those that are changing weights or out of service.
     std::int64_t slots = 0;
 };
 
-// Whether an upstream's running requests had better go on under the new weights. Drained one after
-// the other, the upstreams of a pool that has hardly any slots left would have requests wait at the
-// rest until they are late, or be refused.
+// Whether the pool is so loaded that the upstream should change its weights without draining, so
+// that its running requests continue on the new weights. If the upstreams of a pool with hardly any
+// free slots were drained one after the other, requests would wait at the remaining ones until they
+// are late or rejected.
 bool is_crowded(const pool_load& pool, const drain_rules& rules);
 
 } // namespace camphorrail::weights
--- a/src/weights/drain_tests.cpp
+++ b/src/weights/drain_tests.cpp
@@ -17,8 +17,8 @@
     return base::instant(milliseconds(ms));
 }
 
-// What is left of a pool after a loss, under load: answers of three and a half seconds that may go
-// on at another upstream, and calls of one second that may not.
+// The remaining upstreams of a pool under load after a loss: responses of three and a half seconds
+// that can be continued on another upstream, and requests of one second that can't.
 struct simulated_pool {
     static constexpr int step_ms = 20;
     static constexpr int answer_ms = 3400;
@@ -36,7 +36,7 @@
 
     std::vector<upstream> all;
     int moved_responses = 0;
-    // Requests that came to an upstream whose slots were all taken.
+    // Requests that were sent to an upstream without a free slot.
     int delayed_requests = 0;
     int answers = 0;
     int responses_per_second = 0;
@@ -80,7 +80,7 @@
         return found;
     }
 
-    // 60 calls a second beside the answers.
+    // 60 calls per second in addition to the responses.
     void take_requests(int now) {
         for (; this->next_answer <= now * this->responses_per_second / 1000; ++this->next_answer) {
             this->least_busy().answers_end.push_back(now + answer_ms);
@@ -112,7 +112,7 @@
                 ++this->moved_responses;
             }
         }
-        // What is not cut off is finished first.
+        // Requests that are not aborted are completed first.
         for (const auto* ends : {&one.answers_end, &one.calls_end}) {
             for (const int end : *ends) {
                 one.changed_at = std::max(one.changed_at, end + load_ms);
@@ -156,7 +156,8 @@
         this->take_requests(now);
     }
 
-    // Plays until all hold the second version, and gives how long that took after it was named.
+    // Simulates until all upstreams hold the second version; returns the time that took after its
+    // publication.
     int run(int published_ms) {
         constexpr int longest_ms = 60'000;
         for (int now = 0; now < longest_ms; now += step_ms) {
@@ -174,37 +175,41 @@
 } // namespace
 
 TEST_CASE("an upstream is drained before its weights change", "[weights]") {
-    SECTION("for a moment, for what ends by itself") {
+    SECTION("the minimum time passes even without requests that can't be retried") {
         CHECK_FALSE(weights::is_drained({milliseconds(300), 0}, {}));
         CHECK(weights::is_drained({milliseconds(400), 0}, {}));
     }
-    SECTION("for longer while calls are under way that would be lost") {
+    SECTION("it waits longer for requests that can't be retried") {
         CHECK_FALSE(weights::is_drained({milliseconds(1100), 1}, {}));
     }
-    SECTION("but not for ever") {
+    SECTION("it stops waiting after the maximum time") {
         CHECK(weights::is_drained({milliseconds(1200), 1}, {}));
     }
 }
 
-// The failure: each upstream of a pool that has lost some finishes answers of several seconds
-// before it changes, so that a third of them serve nobody for as long as the new weights go round.
-TEST_CASE("new weights go through a loaded pool before the old ones are outdated for too long",
-          "[weights]") {
+// Guards against draining until all responses have ended. In a pool that has lost some upstreams,
+// each of the remaining ones would finish responses of several seconds before its change, so that a
+// third of them would not serve during the rollout.
+TEST_CASE(
+    "new weights are rolled out in a loaded pool before the old ones are outdated for too long",
+    "[weights]") {
     constexpr int bound_ms = 10'000;
     simulated_pool pool(17, 80);
     CHECK(pool.run(6000) < bound_ms);
 
-    SECTION("while two in three upstreams serve") {
+    SECTION("two thirds of the upstreams keep serving") {
         CHECK(pool.fewest_serving * 3 >= pool.all.size() * 2);
     }
-    SECTION("and fewer than half of the answers have to go on elsewhere") {
+    SECTION("fewer than half of the responses are continued on another upstream") {
         CHECK(pool.moved_responses < pool.answers / 2);
     }
 }
 
-// The failure: upstreams of a pool that has hardly any slots left are drained one after the other,
-// and what they cut off and what comes meanwhile waits at the rest.
-TEST_CASE("nobody waits for a slot while new weights go through a crowded pool", "[weights]") {
+// Guards against draining in a pool with hardly any free slots. If its upstreams were drained one
+// after the other, the requests that they abort and the new ones would wait at the remaining
+// upstreams.
+TEST_CASE("no request waits for a slot while new weights are rolled out in a crowded pool",
+          "[weights]") {
     simulated_pool pool(17, 175);
     CHECK(pool.run(6000) < 10'000);
     CHECK(pool.delayed_requests == 0);
--- a/src/weights/load_plan.cpp
+++ b/src/weights/load_plan.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Upstreams that serve nobody cost nobody anything while they change, but many loads at once slow
-// each other.
+// Factor by which the limit is raised for upstreams out of service. Their change costs no capacity,
+// but many simultaneous loads slow each other down.
 constexpr std::size_t unused_loading_factor = 2;
 
 struct lane_state {
--- a/src/weights/load_plan_tests.cpp
+++ b/src/weights/load_plan_tests.cpp
@@ -21,7 +21,7 @@
     return all;
 }
 
-// A pool that carries out each order in one second.
+// A simulated pool that completes each load in one second.
 struct pool_in_change {
     std::vector<weights::load_candidate> all = engines(18, 1);
     std::vector<base::instant> done_at = std::vector<base::instant>(18);
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("new weights are loaded by part of the upstreams at a time", "[weights]") {
+TEST_CASE("only part of the upstreams load new weights at the same time", "[weights]") {
     auto all = engines(18, 1);
     const weights::load_rules rules;
     all[0].in_flight = 5;
@@ -69,19 +69,19 @@
     CHECK(first.size() == 5);
     CHECK(first.front().value == "e11");
 
-    SECTION("since the others must bear the traffic meanwhile") {
+    SECTION("loads in progress count towards the limit") {
         all[1].loading = true;
         all[2].loading = true;
         CHECK(weights::plan_loads(all, 2, at(10000), rules).size() == 3);
     }
-    // The operators' bound leaves little time, or a change takes long.
-    SECTION("more where the time would not suffice") {
+    // The operators' bound on outdated weights is short, or a change takes long.
+    SECTION("more upstreams change if the rollout would take too long otherwise") {
         for (auto& each : all) {
             each.load_duration = base::milliseconds(2400);
         }
         CHECK(weights::plan_loads(all, 2, at(10000), rules).size() == 8);
     }
-    SECTION("never by one that is suspected") {
+    SECTION("a suspected upstream is never chosen") {
         for (std::size_t each = 0; each < 16; ++each) {
             all[each].suspected = true;
         }
@@ -89,20 +89,21 @@
         CHECK(sound.size() == 2);
         CHECK(sound.front().value == "e26");
     }
-    SECTION("those with the oldest weights first") {
+    SECTION("upstreams with the oldest weights come first") {
         for (std::size_t each = 0; each < 17; ++each) {
             all[each].version = 2;
         }
         CHECK(weights::plan_loads(all, 3, at(10000), rules).front().value == "e27");
     }
-    SECTION("more at a time of those that serve nobody any more") {
+    SECTION("the limit is higher for upstreams that no longer serve") {
         for (auto& each : all) {
             each.out_of_service = true;
         }
         CHECK(weights::plan_loads(all, 2, at(10000), rules).size() == 10);
     }
-    // Were all upstreams of one lane in change at once, its kind of request would have none.
-    SECTION("and by each lane in the same measure") {
+    // If all upstreams of a lane changed at the same time, its kind of request would have no
+    // upstream.
+    SECTION("the limit applies to each lane separately") {
         for (std::size_t each = 0; each < 4; ++each) {
             all[each].lane = 1;
         }
@@ -114,17 +115,17 @@
     }
 }
 
-// Versions follow each other every three to four seconds. With half of the upstreams in change at
-// once, the rest can't read all prompts anew, callers wait for two seconds and give up. The change
-// goes through the pool at an even pace instead, and each upstream skips the version that is
-// replaced while it rests.
-TEST_CASE("versions that follow each other roll through the pool evenly", "[weights]") {
+// Versions follow each other every three to four seconds. If half of the upstreams changed at once,
+// the rest could not prefill all prompts again, and clients would wait for two seconds and time
+// out. Instead, the rollout proceeds at an even pace, and each upstream skips a version that is
+// superseded during its cooldown.
+TEST_CASE("versions that follow each other are rolled out at an even pace", "[weights]") {
     pool_in_change pool;
     pool.run(2, 10000, 14000);
     pool.run(3, 14000, 18000);
     pool.run(4, 18000, 28000);
     CHECK(pool.most_at_once == 5);
-    // Three versions at eighteen upstreams, less those that were skipped.
+    // Three versions on eighteen upstreams, less the skipped loads.
     CHECK(pool.loads == 41);
     for (const auto& each : pool.all) {
         CHECK(each.version == 4);
--- a/src/weights/term.h
+++ b/src/weights/term.h
@@ -7,46 +7,48 @@
 
 namespace camphorrail::weights {
 
-// One stretch during which this process alone may give orders, as it knows it.
+// A leader's term as seen by this process: the period in which only this process may issue orders.
 struct term {
-    // Rises with every change of the holder.
+    // Increases with every change of the leader.
     std::int64_t fencing_token = 0;
     std::int64_t lease_id = 0;
-    // No order before this moment: the holder before may have given one until just before its lease
-    // ended, and upstreams must not see two holders take turns.
+    // No order before this time. The previous leader may have issued one until shortly before its
+    // lease expired, and upstreams must not receive orders of two leaders alternately.
     base::instant valid_from{};
-    // No order after this moment, counted on a clock that counts suspension from before the renewal
-    // was sent: a process that was frozen must not order with a lease that has run out meanwhile.
+    // No order after this time. Computed from before the renewal was sent, on a clock that includes
+    // suspension, so that a process that was frozen can't issue orders after its lease has expired.
     base::instant valid_until{};
 };
 
 struct term_rules {
     base::micros lease_duration = base::seconds(3);
-    // What an order takes to its upstream, and how far clocks may run apart.
+    // Allowance for the delivery time of an order and for drift between clocks.
     base::micros margin = base::milliseconds(400);
-    // Least time between the last order of one holder and the first of the next. Counted from when
-    // the lease was seen to end, which is at least `margin` after that last order.
+    // Minimum time between the last order of one leader and the first order of the next. Counted
+    // from when the lease was observed to expire, which is at least `margin` after that last order.
     base::micros handover_gap = base::seconds(3);
 };
 
-// Who gave the last orders before a term, as the one that begins it knows.
+// The process that issued the last orders before a term, as known to the new leader.
 struct last_order_issuer {
-    // Another process; false where none ever ordered, or this one did.
+    // Whether it was another process; false if no process has issued orders, or this process was
+    // the last.
     bool is_other_process = false;
-    // When this process saw that the other's term was over; nothing where it did not see it.
+    // When this process observed the end of the other's term; nullopt if it did not observe it.
     std::optional<base::instant> ended_at;
 };
 
-// A new term. `asked` is when the lease was asked for, `won` when the store's answer was read. It
-// waits for the last one that gave orders and not for the last holder: in a rolling restart each
-// holder is stopped before its wait is over, and no order would ever be given.
+// Begins a new term. `requested_at` is when the lease was requested, `elected_at` when the store's
+// response was received. The term waits for the last process that issued orders instead of the last
+// leader: in a rolling restart, each leader is stopped before its wait is over, and no order would
+// ever be issued.
 term begin_term(std::int64_t fence, std::int64_t lease, const last_order_issuer& before,
                 base::instant asked, base::instant won, const term_rules& rules);
 
-// The lease was renewed by a call that was sent at `asked`.
+// Extends the term after the lease was renewed by a request sent at `requested_at`.
 void renew_term(term& held, base::instant asked, const term_rules& rules);
 
-// Whether an order may be given now.
+// Whether an order may be issued now.
 bool may_issue_orders(const term& held, base::instant now);
 
 } // namespace camphorrail::weights
