--- a/src/kvcache/cache_index.h
+++ b/src/kvcache/cache_index.h
@@ -68,30 +68,29 @@
 
 // Records that an engine has prefilled a prompt. `capacity` is the size of the engine's KV cache in
 // tokens, 0 if unknown.
-void record_prefill(cache_index& beliefs, const prompt_prefill& read, std::int64_t room,
+void record_prefill(cache_index& index, const prompt_prefill& prefill, std::int64_t capacity,
                     base::instant now);
 
 // Records that a prompt was sent to an engine. Requests queued behind it will find its shared
 // levels in the cache, so they count as cached from now on.
-void record_sent(cache_index& beliefs, const base::upstream_id& to, const prompt_chain& chain,
-                 std::int64_t weights, std::int64_t room);
+void record_sent(cache_index& index, const base::upstream_id& engine, const prompt_chain& chain,
+                 std::int64_t weights, std::int64_t capacity);
 
 // Whether an engine probably has a level in its cache. `level` is the key combined with the version
 // of the weights. The second function requires that the level was used so recently that eviction is
 // unlikely.
-bool holds_level(const cache_index& beliefs, const base::upstream_id& engine, std::uint64_t level);
-bool reliably_holds_level(const cache_index& beliefs, const base::upstream_id& engine,
+bool holds_level(const cache_index& index, const base::upstream_id& engine, std::uint64_t level);
+bool reliably_holds_level(const cache_index& index, const base::upstream_id& engine,
                           std::uint64_t level);
 
 // Removes an engine that has lost its cache, for instance by loading new weights, or has
 // terminated.
-void forget_engine(cache_index& beliefs, const base::upstream_id& gone);
+void forget_engine(cache_index& index, const base::upstream_id& engine);
 
 // The engines that have most recently prefilled a level, the latest first; empty if none is known.
-const std::vector<cache_index::reader>& readers_of(const cache_index& beliefs,
-                                                   std::uint64_t prompt);
+const std::vector<cache_index::reader>& readers_of(const cache_index& index, std::uint64_t level);
 
 // When an engine was last instructed to save the level; nullopt if never.
-std::optional<base::instant> last_save_time(const cache_index& beliefs, std::uint64_t prompt);
+std::optional<base::instant> last_save_time(const cache_index& index, std::uint64_t level);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/engine_cache.cpp
+++ b/src/kvcache/engine_cache.cpp
@@ -11,60 +11,59 @@
 // requests and by the tokens that they generate.
 constexpr double cache_fraction = 0.85;
 
-void evict_oldest_parts(engine_cache& memory) {
-    const auto most =
-        static_cast<std::int64_t>(cache_fraction * static_cast<double>(memory.capacity));
-    while (memory.used_tokens > most && !memory.lru_order.empty()) {
-        const auto oldest = memory.lru_order.front();
-        memory.lru_order.pop_front();
-        memory.used_tokens -= oldest.tokens;
+void evict_oldest_parts(engine_cache& cache) {
+    const auto limit =
+        static_cast<std::int64_t>(cache_fraction * static_cast<double>(cache.capacity));
+    while (cache.used_tokens > limit && !cache.lru_order.empty()) {
+        const auto oldest = cache.lru_order.front();
+        cache.lru_order.pop_front();
+        cache.used_tokens -= oldest.tokens;
         if (oldest.key != 0) {
-            memory.by_key.erase(oldest.key);
+            cache.by_key.erase(oldest.key);
         }
     }
 }
 
 } // namespace
 
-void touch_part(engine_cache& memory, std::uint64_t key, std::int64_t tokens) {
-    const auto found = memory.by_key.find(key);
-    if (found != memory.by_key.end()) {
-        found->second->last_used_position = memory.total_prefilled_tokens;
-        memory.lru_order.splice(memory.lru_order.end(), memory.lru_order, found->second);
+void touch_part(engine_cache& cache, std::uint64_t key, std::int64_t tokens) {
+    const auto found = cache.by_key.find(key);
+    if (found != cache.by_key.end()) {
+        found->second->last_used_position = cache.total_prefilled_tokens;
+        cache.lru_order.splice(cache.lru_order.end(), cache.lru_order, found->second);
         return;
     }
-    memory.used_tokens += tokens;
-    memory.total_prefilled_tokens += tokens;
-    memory.by_key[key] = memory.lru_order.insert(memory.lru_order.end(),
-                                                 {key, tokens, memory.total_prefilled_tokens});
-    evict_oldest_parts(memory);
+    cache.used_tokens += tokens;
+    cache.total_prefilled_tokens += tokens;
+    cache.by_key[key] =
+        cache.lru_order.insert(cache.lru_order.end(), {key, tokens, cache.total_prefilled_tokens});
+    evict_oldest_parts(cache);
 }
 
-void add_unshared_tokens(engine_cache& memory, std::int64_t tokens) {
+void add_unshared_tokens(engine_cache& cache, std::int64_t tokens) {
     if (tokens <= 0) {
         return;
     }
-    const bool joins = !memory.lru_order.empty() && memory.lru_order.back().key == 0 &&
-                       memory.lru_order.back().tokens + tokens <= max_unshared_block_tokens;
-    if (joins) {
-        memory.lru_order.back().tokens += tokens;
+    const bool can_merge = !cache.lru_order.empty() && cache.lru_order.back().key == 0 &&
+                           cache.lru_order.back().tokens + tokens <= max_unshared_block_tokens;
+    if (can_merge) {
+        cache.lru_order.back().tokens += tokens;
     } else {
-        memory.lru_order.push_back({0, tokens, 0});
+        cache.lru_order.push_back({0, tokens, 0});
     }
-    memory.used_tokens += tokens;
-    memory.total_prefilled_tokens += tokens;
-    evict_oldest_parts(memory);
+    cache.used_tokens += tokens;
+    cache.total_prefilled_tokens += tokens;
+    evict_oldest_parts(cache);
 }
 
-bool reliably_holds(const engine_cache& memory, std::uint64_t key) {
-    const auto found = memory.by_key.find(key);
-    return found != memory.by_key.end() &&
-           2 * (memory.total_prefilled_tokens - found->second->last_used_position) <
-               memory.capacity;
+bool reliably_holds(const engine_cache& cache, std::uint64_t key) {
+    const auto found = cache.by_key.find(key);
+    return found != cache.by_key.end() &&
+           2 * (cache.total_prefilled_tokens - found->second->last_used_position) < cache.capacity;
 }
 
-bool holds(const engine_cache& memory, std::uint64_t key) {
-    return memory.by_key.count(key) > 0;
+bool holds(const engine_cache& cache, std::uint64_t key) {
+    return cache.by_key.count(key) > 0;
 }
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/engine_cache.h
+++ b/src/kvcache/engine_cache.h
@@ -35,17 +35,17 @@
 };
 
 // Records that the engine has used a part, which it prefilled if the part was not cached.
-void touch_part(engine_cache& memory, std::uint64_t key, std::int64_t tokens);
+void touch_part(engine_cache& cache, std::uint64_t key, std::int64_t tokens);
 
 // Records that the engine has prefilled tokens that belong to a single request.
-void add_unshared_tokens(engine_cache& memory, std::int64_t tokens);
+void add_unshared_tokens(engine_cache& cache, std::int64_t tokens);
 
 // Whether a part is probably cached.
-bool holds(const engine_cache& memory, std::uint64_t key);
+bool holds(const engine_cache& cache, std::uint64_t key);
 
 // Whether a part is cached with high confidence: since its last use the engine has prefilled less
 // than half of its cache size. Of the parts closer to eviction, one in ten was already gone, and
 // the prompt was prefilled again although a store could have supplied it.
-bool reliably_holds(const engine_cache& memory, std::uint64_t key);
+bool reliably_holds(const engine_cache& cache, std::uint64_t key);
 
 } // namespace camphorrail::kvcache
--- a/src/kvcache/home_engines.cpp
+++ b/src/kvcache/home_engines.cpp
@@ -27,14 +27,14 @@
 }
 
 std::size_t home_engine_count(std::size_t lane, const prompt_chain& chain,
-                              const routing::popularity& seen, base::instant now,
+                              const routing::popularity& traffic, base::instant now,
                               const home_engine_rules& rules) {
-    if (!is_long_prompt(chain) || seen.total.weight < rules.min_observed_prompts) {
+    if (!is_long_prompt(chain) || traffic.total.weight < rules.min_observed_prompts) {
         return lane;
     }
-    const double share = routing::traffic_share(seen, chain.levels.front().key, now);
-    const double wanted = std::ceil(share * static_cast<double>(lane) * rules.overprovisioning);
-    return std::clamp(static_cast<std::size_t>(wanted), std::min(rules.min_engines, lane), lane);
+    const double share = routing::traffic_share(traffic, chain.levels.front().key, now);
+    const double desired = std::ceil(share * static_cast<double>(lane) * rules.overprovisioning);
+    return std::clamp(static_cast<std::size_t>(desired), std::min(rules.min_engines, lane), lane);
 }
 
 } // namespace
@@ -51,8 +51,8 @@
     }
     if (!chain.levels.empty()) {
         sort_by_score(lane.begin(), lane.end(), chain.levels.front().key);
-        const auto own = home_engine_count(lane.size(), chain, outer_levels, now, rules);
-        sort_by_score(lane.begin(), lane.begin() + static_cast<std::ptrdiff_t>(own),
+        const auto home_count = home_engine_count(lane.size(), chain, outer_levels, now, rules);
+        sort_by_score(lane.begin(), lane.begin() + static_cast<std::ptrdiff_t>(home_count),
                       chain.levels.back().key);
     }
     std::vector<const fleet::member*> found;
--- a/src/kvcache/lanes.cpp
+++ b/src/kvcache/lanes.cpp
@@ -18,19 +18,20 @@
     for (auto* one : members) {
         zones[one->listed.zone].push_back(one);
     }
-    std::vector<std::tuple<std::size_t, std::uint64_t, fleet::member*>> turns;
-    for (auto& [zone, of_zone] : zones) {
-        std::sort(of_zone.begin(), of_zone.end(), [](const auto* left, const auto* right) {
-            return left->id_hash < right->id_hash;
-        });
-        for (std::size_t turn = 0; turn < of_zone.size(); ++turn) {
-            turns.emplace_back(turn, of_zone[turn]->id_hash, of_zone[turn]);
+    std::vector<std::tuple<std::size_t, std::uint64_t, fleet::member*>> positions;
+    for (auto& [zone, zone_members] : zones) {
+        std::sort(
+            zone_members.begin(), zone_members.end(),
+            [](const auto* left, const auto* right) { return left->id_hash < right->id_hash; });
+        for (std::size_t position = 0; position < zone_members.size(); ++position) {
+            positions.emplace_back(position, zone_members[position]->id_hash,
+                                   zone_members[position]);
         }
     }
-    std::sort(turns.begin(), turns.end());
+    std::sort(positions.begin(), positions.end());
     std::vector<fleet::member*> order;
-    order.reserve(turns.size());
-    for (const auto& each : turns) {
+    order.reserve(positions.size());
+    for (const auto& each : positions) {
         order.push_back(std::get<fleet::member*>(each));
     }
     return order;
@@ -39,39 +40,41 @@
 // Number of engines needed for the requests with short prompts that are in flight in a pool.
 double required_engines(const std::vector<fleet::member*>& members, base::instant now,
                         const lane_rules& rules) {
-    double wanted = 0.0;
+    double demand = 0.0;
     for (const auto* one : members) {
         const auto slots = static_cast<double>(std::max<std::int64_t>(one->listed.slots, 1));
-        const auto taken = static_cast<double>(fleet::total_work(*one, now).short_prompts);
-        wanted += taken / (rules.target_slot_utilization * slots);
+        const auto in_flight = static_cast<double>(fleet::total_work(*one, now).short_prompts);
+        demand += in_flight / (rules.target_slot_utilization * slots);
     }
-    return wanted;
+    return demand;
 }
 
-void update_demand(lane_size& size, double wanted, double first, base::instant now,
+void update_demand(lane_size& size, double demand, double initial_demand, base::instant now,
                    const lane_rules& rules) {
-    const auto passed =
+    const auto elapsed =
         static_cast<double>(std::max(now - size.updated_at, base::micros(0)).count());
     size.updated_at = now;
     // An idle pool does not allow predictions about future traffic.
-    size.has_seen_traffic = size.has_seen_traffic || wanted > 0.0;
+    size.has_seen_traffic = size.has_seen_traffic || demand > 0.0;
     if (!size.has_seen_traffic) {
-        size.demand = first;
-    } else if (wanted > 0.0) {
-        const auto averaged =
-            wanted > size.demand ? rules.smoothing_time_up : rules.smoothing_time_down;
-        const double newest = 1.0 - std::exp(-passed / static_cast<double>(averaged.count()));
-        size.demand += newest * (wanted - size.demand);
+        size.demand = initial_demand;
+    } else if (demand > 0.0) {
+        const auto time_constant =
+            demand > size.demand ? rules.smoothing_time_up : rules.smoothing_time_down;
+        const double newest_weight =
+            1.0 - std::exp(-elapsed / static_cast<double>(time_constant.count()));
+        size.demand += newest_weight * (demand - size.demand);
     }
 }
 
 std::size_t reserved_engines(const lane_size& size, std::size_t members, const lane_rules& rules) {
-    const auto all = static_cast<double>(members);
-    const double most = std::max(1.0, std::floor(rules.max_share * all));
-    const auto kept = static_cast<double>(size.reserved);
-    const double least_change = std::max(rules.hysteresis, rules.hysteresis_share * all);
-    const bool holds = size.reserved > 0 && std::abs(size.demand - kept) < least_change;
-    return static_cast<std::size_t>(std::clamp(holds ? kept : std::round(size.demand), 1.0, most));
+    const auto member_count = static_cast<double>(members);
+    const double max_reserved = std::max(1.0, std::floor(rules.max_share * member_count));
+    const auto reserved = static_cast<double>(size.reserved);
+    const double min_change = std::max(rules.hysteresis, rules.hysteresis_share * member_count);
+    const bool keeps_size = size.reserved > 0 && std::abs(size.demand - reserved) < min_change;
+    return static_cast<std::size_t>(
+        std::clamp(keeps_size ? reserved : std::round(size.demand), 1.0, max_reserved));
 }
 
 } // namespace
@@ -90,12 +93,12 @@
             continue;
         }
         auto& size = sizes[id];
-        const double first = rules.initial_share * static_cast<double>(members.size());
-        update_demand(size, required_engines(members, now, rules), first, now, rules);
+        const double initial_demand = rules.initial_share * static_cast<double>(members.size());
+        update_demand(size, required_engines(members, now, rules), initial_demand, now, rules);
         size.reserved = reserved_engines(size, members.size(), rules);
         const auto order = lane_order(members);
-        for (std::size_t at = 0; at < size.reserved; ++at) {
-            order[at]->short_lane = true;
+        for (std::size_t index = 0; index < size.reserved; ++index) {
+            order[index]->short_lane = true;
         }
     }
 }
--- a/src/kvcache/lanes_tests.cpp
+++ b/src/kvcache/lanes_tests.cpp
@@ -33,10 +33,10 @@
 
     // Simulates `seconds` with this many requests in flight in total; returns the number of engines
     // in the short lane.
-    std::size_t run(std::int64_t answers, int seconds) {
+    std::size_t run(std::int64_t requests, int seconds) {
         const auto members = static_cast<std::int64_t>(this->state.members.size());
         for (auto& [id, one] : this->state.members) {
-            one.local_work.short_prompts = answers / members;
+            one.local_work.short_prompts = requests / members;
         }
         constexpr int tick_ms = 100;
         for (const int until = this->time_ms + seconds * 1000; this->time_ms < until;
@@ -66,14 +66,14 @@
         CHECK(large.run(2000, 6) == 12);
     }
     SECTION("it keeps its size while there is no traffic, as between two bursts") {
-        const auto before = slow.sizes.at({"pool"}).reserved;
-        CHECK(slow.run(0, 60) == before);
+        const auto previous = slow.sizes.at({"pool"}).reserved;
+        CHECK(slow.run(0, 60) == previous);
     }
     SECTION("small fluctuations of the work do not change its size") {
         loaded_pool large(40);
-        const auto kept = large.run(200, 30);
+        const auto reserved = large.run(200, 30);
         for (int round = 0; round < 10; ++round) {
-            CHECK(large.run(round % 2 == 0 ? 240 : 160, 2) == kept);
+            CHECK(large.run(round % 2 == 0 ? 240 : 160, 2) == reserved);
         }
     }
 }
--- a/src/kvcache/overload.h
+++ b/src/kvcache/overload.h
@@ -22,7 +22,7 @@
 // Rejecting by the wait alone, from two fifths of the target on, scored 0.006, 0.011 and 0.024 less
 // on twenty days of heavy load in each of three pools, and rejected twice as many. With a threshold
 // of seven tenths or more, engines fell behind and most responses were late.
-bool should_reject(double first_byte_ms, double waiting_ms, base::milliseconds target);
+bool should_reject(double first_byte_ms, double wait_ms, base::milliseconds target);
 
 // How long a rejected client should wait before retrying. `number` differs between requests and
 // spreads the delays, so that clients rejected at the same time do not retry at the same time.
--- a/src/kvcache/placement.cpp
+++ b/src/kvcache/placement.cpp
@@ -27,25 +27,25 @@
 constexpr base::seconds unknown_store_save_interval{20};
 
 // Expected time until a slot becomes free if more than `threshold` of an engine's slots are taken.
-double slot_wait_ms(const fleet::member& one, const fleet::workload& work, double part,
+double slot_wait_ms(const fleet::member& one, const fleet::workload& work, double threshold,
                     const placement_costs& costs) {
     const auto slots = static_cast<double>(std::max<std::int64_t>(one.listed.slots, 1));
-    const double over = std::max(0.0, static_cast<double>(work.in_flight) - part * slots);
-    return over * costs.response_ms / slots;
+    const double excess = std::max(0.0, static_cast<double>(work.in_flight) - threshold * slots);
+    return excess * costs.response_ms / slots;
 }
 
 // Expected time until there is room for the prompt if more than `threshold` of an engine's memory
 // is taken.
-double memory_wait_ms(const fleet::workload& work, double part, const prompt_request& request,
+double memory_wait_ms(const fleet::workload& work, double threshold, const prompt_request& request,
                       const placement_costs& costs) {
     if (request.pool.kv_capacity_tokens <= 0) {
         return 0.0;
     }
-    const double room = part * static_cast<double>(request.pool.kv_capacity_tokens);
-    const auto wanted = static_cast<double>(work.kv_tokens + request.chain.total_tokens());
+    const double available = threshold * static_cast<double>(request.pool.kv_capacity_tokens);
+    const auto required = static_cast<double>(work.kv_tokens + request.chain.total_tokens());
     const double turnover =
         costs.memory_turnover_ms / static_cast<double>(request.pool.kv_capacity_tokens);
-    return std::max(0.0, wanted - room) * turnover;
+    return std::max(0.0, required - available) * turnover;
 }
 
 std::int64_t queued_prefill_tokens_at(const fleet::member& one, const placement_context& view) {
@@ -58,18 +58,18 @@
 double expected_wait_ms(const fleet::member& one, const prompt_request& request,
                         const placement_context& view) {
     const auto work = fleet::total_work(one, view.now);
-    const latency::prefill_work ahead{0.0, static_cast<double>(queued_prefill_tokens_at(one, view)),
-                                      0.0};
-    return latency::prefill_ms(view.model, ahead) + slot_wait_ms(one, work, 1.0, view.costs) +
+    const latency::prefill_work queued{
+        0.0, static_cast<double>(queued_prefill_tokens_at(one, view)), 0.0};
+    return latency::prefill_ms(view.model, queued) + slot_wait_ms(one, work, 1.0, view.costs) +
            memory_wait_ms(work, 1.0, request, view.costs);
 }
 
 // Cost of serving a prompt away from its home, per rank step.
 double off_home_step_ms(const prompt_request& request, const placement_context& view) {
-    const latency::prefill_work read_again{1.0, 0.0, 0.0};
+    const latency::prefill_work one_token{1.0, 0.0, 0.0};
     const double token_ms =
         view.costs.off_home_fetch_factor * fetch_ms_per_token(request.pool) +
-        view.costs.off_home_prefill_share * latency::prefill_ms(view.model, read_again);
+        view.costs.off_home_prefill_share * latency::prefill_ms(view.model, one_token);
     return token_ms * static_cast<double>(request.chain.shared_tokens());
 }
 
@@ -80,8 +80,8 @@
 // under lighter load.
 std::size_t rank_penalty_steps(const fleet::member& one,
                                const std::vector<const fleet::member*>& by_prompt) {
-    const auto at = std::find(by_prompt.begin(), by_prompt.end(), &one) - by_prompt.begin();
-    return std::min(static_cast<std::size_t>(at), max_rank_penalty_steps);
+    const auto index = std::find(by_prompt.begin(), by_prompt.end(), &one) - by_prompt.begin();
+    return std::min(static_cast<std::size_t>(index), max_rank_penalty_steps);
 }
 
 double outdated_penalty_ms(const prompt_request& request, const placement_costs& costs) {
@@ -103,21 +103,23 @@
 
 // Estimates the prompt's own times at the candidate: fetching cached parts, and prefilling the
 // rest.
-void estimate_own_time(placement_option& made, const prompt_request& request,
+void estimate_own_time(placement_option& option, const prompt_request& request,
                        const placement_context& view, const routes::kv_store* store) {
     const auto& chain = request.chain;
-    made.prefill_tokens = chain.total_tokens();
+    option.prefill_tokens = chain.total_tokens();
     if (chain.shared_tokens() >= min_tracked_tokens) {
-        const std::int64_t held = cached_tokens_at(*made.target, request, view);
-        made.source = best_source(*made.target, request, view, store, held);
-        made.fetch_ms = made.source.tokens > held ? made.source.fetch_ms : 0.0;
-        made.prefill_tokens -= std::max(held, made.source.tokens);
+        const std::int64_t held = cached_tokens_at(*option.target, request, view);
+        option.source = best_source(*option.target, request, view, store, held);
+        option.fetch_ms = option.source.tokens > held ? option.source.fetch_ms : 0.0;
+        option.prefill_tokens -= std::max(held, option.source.tokens);
     }
-    const auto to_read = static_cast<double>(made.prefill_tokens);
-    const auto all = static_cast<double>(chain.total_tokens());
-    made.first_byte_ms = made.fetch_ms + made.wait_ms +
-                         latency::expected_first_byte_ms(
-                             view.model, {to_read, 0.0, latency::attention_pairs(to_read, all)});
+    const auto prefill_tokens = static_cast<double>(option.prefill_tokens);
+    const auto total_tokens = static_cast<double>(chain.total_tokens());
+    option.first_byte_ms =
+        option.fetch_ms + option.wait_ms +
+        latency::expected_first_byte_ms(
+            view.model,
+            {prefill_tokens, 0.0, latency::attention_pairs(prefill_tokens, total_tokens)});
 }
 
 placement_option evaluate_candidate(const candidate& one, std::size_t steps,
@@ -125,24 +127,24 @@
                                     const routes::kv_store* store) {
     const auto& costs = view.costs;
     const auto work = fleet::total_work(*one.engine, view.now);
-    placement_option made;
-    made.target = &one;
-    made.wait_ms = expected_wait_ms(*one.engine, request, view);
-    estimate_own_time(made, request, view, store);
-    const bool lacks_shared =
-        made.prefill_tokens > request.chain.unshared_tokens || made.fetch_ms > 0.0;
-    double cost = made.first_byte_ms;
+    placement_option option;
+    option.target = &one;
+    option.wait_ms = expected_wait_ms(*one.engine, request, view);
+    estimate_own_time(option, request, view, store);
+    const bool misses_shared =
+        option.prefill_tokens > request.chain.unshared_tokens || option.fetch_ms > 0.0;
+    double cost = option.first_byte_ms;
     cost += slot_wait_ms(*one.engine, work, costs.slot_pressure_threshold, costs);
     cost += memory_wait_ms(work, costs.memory_pressure_threshold, request, costs);
     cost += static_cast<double>(work.in_flight) * costs.running_request_ms;
     cost += one.outdated ? outdated_penalty_ms(request, costs) : 0.0;
-    cost += lacks_shared ? static_cast<double>(steps) * off_home_step_ms(request, view) : 0.0;
+    cost += misses_shared ? static_cast<double>(steps) * off_home_step_ms(request, view) : 0.0;
     if (!in_lane(*one.engine, request.chain)) {
         cost += is_long_prompt(request.chain) ? costs.long_in_short_lane_ms
                                               : costs.short_in_long_lane_ms;
     }
-    made.cost_ms = cost;
-    return made;
+    option.cost_ms = cost;
+    return option;
 }
 
 // Selects the candidates to consider: those that rank highest in the prompt's lane, and a few of
@@ -150,47 +152,48 @@
 std::vector<const candidate*> select_candidates(const std::vector<candidate>& candidates,
                                                 const std::vector<const fleet::member*>& by_prompt,
                                                 const prompt_chain& chain) {
-    std::vector<const candidate*> few;
-    const std::size_t most =
+    std::vector<const candidate*> selected;
+    const std::size_t limit =
         is_long_prompt(chain) ? long_prompt_candidates : short_prompt_candidates;
     for (const auto* engine : by_prompt) {
-        if (few.size() == most) {
+        if (selected.size() == limit) {
             break;
         }
         const auto found =
             std::find_if(candidates.begin(), candidates.end(),
                          [engine](const auto& each) { return each.engine == engine; });
         if (found != candidates.end()) {
-            few.push_back(&*found);
+            selected.push_back(&*found);
         }
     }
-    std::vector<const candidate*> beside;
+    std::vector<const candidate*> other_lane;
     for (const auto& each : candidates) {
         if (!in_lane(*each.engine, chain)) {
-            beside.push_back(&each);
+            other_lane.push_back(&each);
         }
     }
     const std::uint64_t key = chain.levels.empty() ? 0 : chain.levels.back().key;
-    std::sort(beside.begin(), beside.end(), [key](const auto* left, const auto* right) {
+    std::sort(other_lane.begin(), other_lane.end(), [key](const auto* left, const auto* right) {
         const auto score = [key](const candidate& one) {
             return routing::score(one.engine->id_hash, key);
         };
         return score(*left) > score(*right);
     });
-    for (std::size_t at = 0; at < std::min(beside.size(), other_lane_candidates); ++at) {
-        few.push_back(beside[at]);
+    for (std::size_t index = 0; index < std::min(other_lane.size(), other_lane_candidates);
+         ++index) {
+        selected.push_back(other_lane[index]);
     }
-    if (few.empty()) {
+    if (selected.empty()) {
         // The remaining candidates have just vanished from the list and belong to no lane.
         for (const auto& each : candidates) {
-            few.push_back(&each);
+            selected.push_back(&each);
         }
     }
-    return few;
+    return selected;
 }
 
-bool needs_save(const placement& made, const prompt_request& request, const placement_context& view,
-                const routes::kv_store& store) {
+bool needs_save(const placement& option, const prompt_request& request,
+                const placement_context& view, const routes::kv_store& store) {
     const auto& chain = request.chain;
     // A save includes the request's unshared part, which no other request needs. Without this
     // limit, stores evicted shared parts in favor of unshared ones; with a lower limit, most saves
@@ -198,17 +201,17 @@
     if (chain.unshared_tokens > chain.shared_tokens()) {
         return false;
     }
-    const auto saved =
-        last_save_time(view.cache, key_for_weights(chain.levels.back().key, made.target.weights));
+    const auto last_saved =
+        last_save_time(view.cache, key_for_weights(chain.levels.back().key, option.target.weights));
     if (!is_up_to_date(view.stored_prompts, store.address, view.now)) {
-        return !saved || view.now - *saved > unknown_store_save_interval;
+        return !last_saved || view.now - *last_saved > unknown_store_save_interval;
     }
     if (transfer_wait_ms(view.stored_prompts, store.address, view.now) > max_save_wait_ms) {
         return false;
     }
-    const bool is_there = stored_tokens(view.stored_prompts, store.address, chain, made.salt) ==
-                          chain.shared_tokens();
-    return !is_there && (!saved || view.now - *saved > save_visibility_delay);
+    const bool is_stored = stored_tokens(view.stored_prompts, store.address, chain, option.salt) ==
+                           chain.shared_tokens();
+    return !is_stored && (!last_saved || view.now - *last_saved > save_visibility_delay);
 }
 
 } // namespace
@@ -223,15 +226,15 @@
     const auto* store = is_tracked ? select_store(request, view, home) : nullptr;
     placement_option best;
     for (const auto* each : select_candidates(candidates, by_prompt, chain)) {
-        auto made = evaluate_candidate(*each, rank_penalty_steps(*each->engine, by_prompt), request,
-                                       view, store);
-        if (best.target == nullptr || made.cost_ms < best.cost_ms) {
-            best = std::move(made);
+        auto option = evaluate_candidate(*each, rank_penalty_steps(*each->engine, by_prompt),
+                                         request, view, store);
+        if (best.target == nullptr || option.cost_ms < best.cost_ms) {
+            best = std::move(option);
         }
     }
     placement chosen;
     chosen.target = *best.target;
-    chosen.salt = make_salt(request.space, best.target->weights);
+    chosen.salt = make_salt(request.scope, best.target->weights);
     chosen.fetch_from = std::move(best.source.address);
     chosen.prefill_tokens = best.prefill_tokens;
     chosen.queued_prefill_tokens = queued_prefill_tokens_at(*best.target->engine, view);
--- a/src/kvcache/placement.h
+++ b/src/kvcache/placement.h
@@ -55,7 +55,7 @@
 
 // A prompt and the pool that is to serve it.
 struct prompt_request {
-    const prompt_scope& space;
+    const prompt_scope& scope;
     const prompt_chain& chain;
     const routes::pool& pool;
     // All members of the pool, including unavailable ones.
--- a/src/kvcache/placement_tests.cpp
+++ b/src/kvcache/placement_tests.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr base::instant now{base::seconds(100)};
-const kvcache::prompt_scope space{{"m"}, {}};
+const kvcache::prompt_scope scope{{"m"}, {}};
 const std::vector<routes::kv_store> stores{{"10.9.9.1:1", {"a"}, 1'200'000, 350'000},
                                            {"10.9.9.2:1", {"b"}, 1'200'000, 350'000},
                                            {"10.9.9.3:1", {"c"}, 1'200'000, 350'000}};
@@ -20,8 +20,8 @@
 struct world {
     fleet::fleet state;
     kvcache::lane_sizes lanes;
-    kvcache::cache_index beliefs;
-    kvcache::store_index copies;
+    kvcache::cache_index cache;
+    kvcache::store_index stored_prompts;
     // Engines that prefill a token in about 10 microseconds.
     latency::first_byte_model model{.coefficients = {8.0, 0.01, 0.0}};
     routes::pool pool{{"pool"}, 71'780, 192'512, 350'000};
@@ -39,7 +39,7 @@
         fleet::apply_list(this->state, listed, now);
         kvcache::assign_lanes(this->state, this->lanes, now, {.initial_share = 0.3});
         for (const auto& store : stores) {
-            kvcache::apply_listing(this->copies[store.address], {}, now);
+            kvcache::apply_listing(this->stored_prompts[store.address], {}, now);
         }
     }
 
@@ -52,13 +52,13 @@
         read.weights = 1;
         read.engine = by;
         read.saved = saved;
-        kvcache::record_prefill(this->beliefs, read, this->pool.kv_capacity_tokens, at);
+        kvcache::record_prefill(this->cache, read, this->pool.kv_capacity_tokens, at);
     }
 
     // Records enough traffic, evenly distributed over all agencies, for traffic shares to be known.
-    void see_traffic(const std::function<kvcache::prompt_chain(int)>& chain_of) {
+    void record_traffic(const std::function<kvcache::prompt_chain(int)>& make_history_prompt) {
         for (int history = 0; history < 300; ++history) {
-            this->note({chain_of(history).levels.front()}, {{"e0"}, {}}, now, false);
+            this->note({make_history_prompt(history).levels.front()}, {{"e0"}, {}}, now, false);
         }
     }
 
@@ -68,8 +68,9 @@
         for (const auto& [id, one] : this->state.members) {
             all.push_back(&one);
         }
-        return kvcache::place(candidates, {space, chain, this->pool, all, base::milliseconds(400)},
-                              {this->beliefs, this->copies, stores, now, {}, this->model, {}});
+        return kvcache::place(
+            candidates, {scope, chain, this->pool, all, base::milliseconds(400)},
+            {this->cache, this->stored_prompts, stores, now, {}, this->model, {}});
     }
 
     kvcache::placement place(const kvcache::prompt_chain& chain) {
@@ -86,25 +87,25 @@
     }
 
     // Makes every store hold the whole prompt.
-    void keep(const kvcache::prompt_chain& chain) {
+    void store_prompt(const kvcache::prompt_chain& chain) {
         for (const auto& store : stores) {
             for (const auto& level : chain.levels) {
                 kvcache::apply_changes(
-                    this->copies[store.address],
-                    {{kvcache::part_key(kvcache::make_salt(space, 1), level), level.part_tokens}},
+                    this->stored_prompts[store.address],
+                    {{kvcache::part_key(kvcache::make_salt(scope, 1), level), level.part_tokens}},
                     now);
             }
         }
     }
 };
 
-kvcache::prompt_chain chain_of(int history, std::int64_t own = 2890) {
-    return kvcache::make_chain(space, {{"agency" + std::to_string(history % 20), {2520}},
+kvcache::prompt_chain make_history_prompt(int history, std::int64_t own = 2890) {
+    return kvcache::make_chain(scope, {{"agency" + std::to_string(history % 20), {2520}},
                                        {"history" + std::to_string(history), {3780}},
                                        {"own", {own}}});
 }
 
-const std::string& store_in(const base::availability_zone& zone) {
+const std::string& store_in_zone(const base::availability_zone& zone) {
     for (const auto& store : stores) {
         if (store.zone == zone) {
             return store.address;
@@ -118,15 +119,15 @@
 TEST_CASE("prompts with a shared prefix are sent where it is cached", "[kvcache]") {
     world entry(18);
     world other_entry(18);
-    const auto chain = chain_of(1);
+    const auto chain = make_history_prompt(1);
 
     SECTION("all entries compute the same home") {
-        entry.see_traffic([](int history) { return chain_of(history); });
-        other_entry.see_traffic([](int history) { return chain_of(history); });
+        entry.record_traffic([](int history) { return make_history_prompt(history); });
+        other_entry.record_traffic([](int history) { return make_history_prompt(history); });
         std::map<std::string, int> homes;
         for (int history = 0; history < 281; ++history) {
-            const auto here = entry.place(chain_of(history));
-            const auto there = other_entry.place(chain_of(history));
+            const auto here = entry.place(make_history_prompt(history));
+            const auto there = other_entry.place(make_history_prompt(history));
             CHECK(here.is_home);
             CHECK(here.target.engine->listed.id == there.target.engine->listed.id);
             ++homes[here.target.engine->listed.id.value];
@@ -146,8 +147,8 @@
     SECTION("a store that holds the prompt is named as a source, since engines evict entries") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
-        entry.keep(chain);
-        CHECK(entry.place(chain).fetch_from == store_in(home->listed.zone));
+        entry.store_prompt(chain);
+        CHECK(entry.place(chain).fetch_from == store_in_zone(home->listed.zone));
     }
     // Much of the traffic moves to one prompt. Its home falls behind, and clients wait there while
     // other engines idle. A second engine fetches the prompt from the first one, whose link has
@@ -155,7 +156,7 @@
     SECTION("if the home has a long queue, another engine serves the prompt and fetches from it") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
-        entry.keep(chain);
+        entry.store_prompt(chain);
         home->local_work.pending_prefill_tokens = 30000;
         const auto second = entry.place(chain);
         CHECK(second.target.engine != home);
@@ -178,11 +179,11 @@
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now - base::seconds(3));
         for (int other = 100; other < 110; ++other) {
-            entry.read(chain_of(other), *home, now - base::seconds(2));
+            entry.read(make_history_prompt(other), *home, now - base::seconds(2));
         }
-        entry.keep(chain);
+        entry.store_prompt(chain);
         home->local_work.pending_prefill_tokens = 30000;
-        CHECK(entry.place(chain).fetch_from == store_in(home->listed.zone));
+        CHECK(entry.place(chain).fetch_from == store_in_zone(home->listed.zone));
     }
     // Another engine has served the prompt in place of its home, and no store holds a copy yet. The
     // home would prefill all of it again.
@@ -207,26 +208,26 @@
     SECTION("the store is the source after the home has crashed") {
         const auto home = entry.place(chain).target.engine;
         entry.read(chain, *home, now);
-        entry.keep(chain);
+        entry.store_prompt(chain);
         home->health.ejected_until = now + base::seconds(1);
-        kvcache::forget_engine(entry.beliefs, home->listed.id);
+        kvcache::forget_engine(entry.cache, home->listed.id);
         const auto next = entry.place(chain);
         CHECK(next.target.engine != home);
-        CHECK(next.fetch_from == store_in(home->listed.zone));
+        CHECK(next.fetch_from == store_in_zone(home->listed.zone));
     }
     // Engines load new weights one after the other. If prompts followed the newest weights, all of
     // them would crowd on the first engines that have loaded them, and would be prefilled again
     // each time further engines follow.
     SECTION("the home does not change during a rolling change of weights") {
         const auto home = entry.place(chain).target.engine;
-        std::vector<kvcache::candidate> mixed;
+        std::vector<kvcache::candidate> mixed_weights;
         for (auto* one : fleet::candidates(entry.state, {"pool"}, now, {}, {})) {
             const bool changed = one != home;
-            mixed.push_back({one, changed ? 2 : 1, !changed});
+            mixed_weights.push_back({one, changed ? 2 : 1, !changed});
         }
-        const auto placed = entry.place(chain, mixed);
+        const auto placed = entry.place(chain, mixed_weights);
         CHECK(placed.target.engine == home);
-        CHECK(placed.salt == kvcache::make_salt(space, 1));
+        CHECK(placed.salt == kvcache::make_salt(scope, 1));
     }
 }
 
@@ -236,9 +237,9 @@
 TEST_CASE("the outer level of a new prompt is fetched from an engine that has it cached",
           "[kvcache]") {
     world entry(38);
-    const auto chain = chain_of(1);
+    const auto chain = make_history_prompt(1);
     const auto* home = entry.place(chain).target.engine;
-    const auto sibling = chain_of(21);
+    const auto sibling = make_history_prompt(21);
     REQUIRE(sibling.levels.front().key == chain.levels.front().key);
     const auto* other = entry.place(sibling).target.engine;
     REQUIRE(other != home);
@@ -256,7 +257,7 @@
         CHECK(placed.prefill_tokens == 3780 + 2890);
     }
     SECTION("nothing is fetched if no engine has used the level recently") {
-        CHECK(entry.place(chain_of(2)).fetch_from.empty());
+        CHECK(entry.place(make_history_prompt(2)).fetch_from.empty());
     }
 }
 
@@ -265,14 +266,14 @@
 // instead, so the prompts of one overloaded engine are spread over many.
 TEST_CASE("prompts that leave their home are spread over many engines", "[kvcache]") {
     world entry(38);
-    auto* idle = entry.place(chain_of(0)).target.engine;
+    auto* idle = entry.place(make_history_prompt(0)).target.engine;
     for (auto& [id, one] : entry.state.members) {
         one.local_work.pending_prefill_tokens = &one == idle ? 0 : 40000;
     }
-    entry.see_traffic([](int history) { return chain_of(history); });
+    entry.record_traffic([](int history) { return make_history_prompt(history); });
     std::map<std::string, int> sent;
     for (int history = 0; history < 300; ++history) {
-        ++sent[entry.place(chain_of(history)).target.engine->listed.id.value];
+        ++sent[entry.place(make_history_prompt(history)).target.engine->listed.id.value];
     }
     CHECK(sent.size() > 20);
     CHECK(sent[idle->listed.id.value] < 60);
@@ -283,14 +284,14 @@
 // needs.
 TEST_CASE("prompts below the same outer level share a few engines", "[kvcache]") {
     world entry(38);
-    const auto of_small = [](int history) {
+    const auto small_agency_prompt = [](int history) {
         return kvcache::make_chain(
-            space,
+            scope,
             {{"small", {2520}}, {"history" + std::to_string(history), {3780}}, {"own", {100}}});
     };
-    const auto of_popular = [](int history) {
+    const auto popular_agency_prompt = [](int history) {
         return kvcache::make_chain(
-            space,
+            scope,
             {{"popular", {2520}}, {"history" + std::to_string(history), {3780}}, {"own", {100}}});
     };
     const auto homes_of = [&entry](const auto& chain) {
@@ -301,16 +302,17 @@
         return homes.size();
     };
     SECTION("the number of engines grows with the level's traffic") {
-        entry.see_traffic([&](int history) {
-            return history % 2 == 0 ? of_popular(history) : chain_of(history);
+        entry.record_traffic([&](int history) {
+            return history % 2 == 0 ? popular_agency_prompt(history) : make_history_prompt(history);
         });
-        entry.see_traffic(
-            [&](int history) { return history % 10 == 0 ? of_small(history) : chain_of(history); });
-        CHECK(homes_of(of_small) == 4);
-        CHECK(homes_of(of_popular) > 12);
+        entry.record_traffic([&](int history) {
+            return history % 10 == 0 ? small_agency_prompt(history) : make_history_prompt(history);
+        });
+        CHECK(homes_of(small_agency_prompt) == 4);
+        CHECK(homes_of(popular_agency_prompt) > 12);
     }
     SECTION("all engines are used before the traffic is known") {
-        CHECK(homes_of(of_small) > 20);
+        CHECK(homes_of(small_agency_prompt) > 20);
     }
 }
 
@@ -327,8 +329,8 @@
         one.local_work.pending_prefill_tokens = one.short_lane ? 0 : 30000;
     }
     CHECK(short_lane == 5);
-    CHECK_FALSE(entry.place(chain_of(1)).target.engine->short_lane);
-    const auto small = kvcache::make_chain(space, {{"tone", {119}}, {"own", {628}}});
+    CHECK_FALSE(entry.place(make_history_prompt(1)).target.engine->short_lane);
+    const auto small = kvcache::make_chain(scope, {{"tone", {119}}, {"own", {628}}});
     CHECK(entry.place(small).target.engine->short_lane);
 
     SECTION("every availability zone has engines of the short lane") {
@@ -358,7 +360,7 @@
 // growing delays.
 TEST_CASE("an engine with full memory gets no more prompts", "[kvcache]") {
     world entry(38);
-    const auto chain = chain_of(1);
+    const auto chain = make_history_prompt(1);
     const auto home = entry.place(chain).target.engine;
     home->local_work.kv_tokens = 40000;
     CHECK(entry.place(chain).target.engine == home);
@@ -382,9 +384,9 @@
 // A save uses the store's link and capacity, which all engines share.
 TEST_CASE("a prompt is saved once, to a store that does not hold it", "[kvcache]") {
     world entry(18);
-    const auto chain = chain_of(1);
+    const auto chain = make_history_prompt(1);
     const auto first = entry.place(chain);
-    CHECK(first.save_to == store_in(first.target.engine->listed.zone));
+    CHECK(first.save_to == store_in_zone(first.target.engine->listed.zone));
 
     SECTION("it is not saved again while a save is in progress") {
         entry.read(chain, *first.target.engine, now - base::seconds(1), true);
@@ -395,24 +397,24 @@
         CHECK_FALSE(entry.place(chain).save_to.empty());
     }
     SECTION("it is not saved if the store already holds it") {
-        entry.keep(chain);
+        entry.store_prompt(chain);
         CHECK(entry.place(chain).save_to.empty());
     }
     SECTION("it is not saved if the unshared part is larger than the shared prefix") {
-        CHECK_FALSE(entry.place(chain_of(1, 6200)).save_to.empty());
-        CHECK(entry.place(chain_of(1, 6400)).save_to.empty());
+        CHECK_FALSE(entry.place(make_history_prompt(1, 6200)).save_to.empty());
+        CHECK(entry.place(make_history_prompt(1, 6400)).save_to.empty());
     }
     // The store refuses connections. Engines instructed to use it would wait for it on every
     // prompt, so another store is used in its place.
     SECTION("it is saved in another store while its own is down") {
-        kvcache::mark_down(entry.copies[first.save_to], now);
+        kvcache::mark_down(entry.stored_prompts[first.save_to], now);
         const auto second = entry.place(chain);
         CHECK_FALSE(second.save_to.empty());
         CHECK(second.save_to != first.save_to);
     }
     SECTION("it is not saved while all stores are down") {
         for (const auto& store : stores) {
-            kvcache::mark_down(entry.copies[store.address], now);
+            kvcache::mark_down(entry.stored_prompts[store.address], now);
         }
         CHECK(entry.place(chain).save_to.empty());
         CHECK(entry.place(chain).fetch_from.empty());
@@ -420,7 +422,7 @@
     // The entry that follows the store has stopped reporting, so the store's contents are unknown.
     // A fetch that finds nothing costs an engine only a millisecond.
     SECTION("a store with unknown contents is named as a speculative source") {
-        entry.copies.clear();
+        entry.stored_prompts.clear();
         CHECK(entry.place(chain).fetch_from == first.save_to);
     }
 }
@@ -429,25 +431,30 @@
 // zone was never named. With 100 entries and 160 engines, prompts then waited for the links of the
 // other stores.
 TEST_CASE("prompts are distributed over all stores of an availability zone", "[kvcache]") {
-    world grown(30);
-    auto more = stores;
-    more.push_back({"10.9.9.4:1", {"a"}, 1'200'000, 350'000});
-    std::map<std::string, int> named;
-    const auto& home = grown.state.members.at({"e0"});
+    world pool_with_stores(30);
+    auto more_stores = stores;
+    more_stores.push_back({"10.9.9.4:1", {"a"}, 1'200'000, 350'000});
+    std::map<std::string, int> selected;
+    const auto& home = pool_with_stores.state.members.at({"e0"});
     REQUIRE(home.listed.zone.value == "a");
     for (int history = 0; history < 100; ++history) {
-        const auto chain = chain_of(history);
+        const auto chain = make_history_prompt(history);
         const std::vector<const fleet::member*> members;
-        const kvcache::prompt_request request{space, chain, grown.pool, members,
+        const kvcache::prompt_request request{scope, chain, pool_with_stores.pool, members,
                                               base::milliseconds(400)};
-        const kvcache::placement_context view{
-            grown.beliefs, grown.copies, more, now, {}, grown.model, {}};
+        const kvcache::placement_context view{pool_with_stores.cache,
+                                              pool_with_stores.stored_prompts,
+                                              more_stores,
+                                              now,
+                                              {},
+                                              pool_with_stores.model,
+                                              {}};
         const auto* store = kvcache::select_store(request, view, &home);
         REQUIRE(store != nullptr);
         CHECK(store == kvcache::select_store(request, view, &home));
-        ++named[store->address];
+        ++selected[store->address];
     }
-    REQUIRE(named.size() == 2);
-    CHECK(named.at("10.9.9.1:1") > 25);
-    CHECK(named.at("10.9.9.4:1") > 25);
+    REQUIRE(selected.size() == 2);
+    CHECK(selected.at("10.9.9.1:1") > 25);
+    CHECK(selected.at("10.9.9.4:1") > 25);
 }
--- a/src/kvcache/prompt_chain.cpp
+++ b/src/kvcache/prompt_chain.cpp
@@ -4,10 +4,10 @@
 
 namespace camphorrail::kvcache {
 
-prompt_chain make_chain(const prompt_scope& space, const std::vector<ports::prompt_part>& parts) {
+prompt_chain make_chain(const prompt_scope& scope, const std::vector<ports::prompt_part>& parts) {
     prompt_chain chain;
-    std::uint64_t key = base::combine_hashes(base::stable_hash(space.model.value),
-                                             base::stable_hash(space.isolated_team.value));
+    std::uint64_t key = base::combine_hashes(base::stable_hash(scope.model.value),
+                                             base::stable_hash(scope.isolated_team.value));
     std::int64_t tokens = 0;
     for (std::size_t level = 0; level + 1 < parts.size(); ++level) {
         const std::uint64_t part = base::stable_hash(parts[level].id);
@@ -19,9 +19,9 @@
     return chain;
 }
 
-std::string make_salt(const prompt_scope& space, std::int64_t weights) {
-    std::string salt = space.model.value + "." + std::to_string(weights);
-    return space.isolated_team.empty() ? salt : salt + "." + space.isolated_team.value;
+std::string make_salt(const prompt_scope& scope, std::int64_t weights) {
+    std::string salt = scope.model.value + "." + std::to_string(weights);
+    return scope.isolated_team.empty() ? salt : salt + "." + scope.isolated_team.value;
 }
 
 std::uint64_t key_for_weights(std::uint64_t level_key, std::int64_t weights) {
--- a/src/kvcache/prompt_chain.h
+++ b/src/kvcache/prompt_chain.h
@@ -43,11 +43,11 @@
     }
 };
 
-prompt_chain make_chain(const prompt_scope& space, const std::vector<ports::prompt_part>& parts);
+prompt_chain make_chain(const prompt_scope& scope, const std::vector<ports::prompt_part>& parts);
 
 // Returns the cache salt for a prompt's parts. It includes the version of the weights, so that
 // cache entries of other weights are never found, and the team if its cache is isolated.
-std::string make_salt(const prompt_scope& space, std::int64_t weights);
+std::string make_salt(const prompt_scope& scope, std::int64_t weights);
 
 // Combines a level's key with a version of the weights.
 std::uint64_t key_for_weights(std::uint64_t level_key, std::int64_t weights);
--- a/src/kvcache/prompt_sources.cpp
+++ b/src/kvcache/prompt_sources.cpp
@@ -45,13 +45,13 @@
 // holds it with the required confidence; null if there is none that can serve fetches.
 const fleet::member* latest_reader(const prompt_level& level, const candidate& target,
                                    const prompt_request& request, const placement_context& view,
-                                   confidence wanted) {
+                                   confidence required) {
     const auto key = key_for_weights(level.key, target.weights);
     for (const auto& reading : readers_of(view.cache, key)) {
-        const bool counts = wanted == confidence::holds
-                                ? reliably_holds_level(view.cache, reading.engine, key)
-                                : view.now - reading.read_at <= possible_retention;
-        if (reading.engine == target.engine->listed.id || !counts) {
+        const bool qualifies = required == confidence::holds
+                                   ? reliably_holds_level(view.cache, reading.engine, key)
+                                   : view.now - reading.read_at <= possible_retention;
+        if (reading.engine == target.engine->listed.id || !qualifies) {
             continue;
         }
         if (const auto* reader = reachable_member(reading.engine, request, view)) {
@@ -75,16 +75,18 @@
     }
     // The estimate of an engine's cache contents may be wrong; a fetch that finds nothing costs
     // only a millisecond.
-    const auto* once = latest_reader(levels.back(), target, request, view, confidence::perhaps);
-    return once == nullptr ? prompt_source{} : prompt_source{once->listed.address, 0, 0.0};
+    const auto* possible_reader =
+        latest_reader(levels.back(), target, request, view, confidence::perhaps);
+    return possible_reader == nullptr ? prompt_source{}
+                                      : prompt_source{possible_reader->listed.address, 0, 0.0};
 }
 
 prompt_source store_source(const candidate& target, const prompt_request& request,
                            const placement_context& view, const routes::kv_store& store) {
-    const auto salt = make_salt(request.space, target.weights);
+    const auto salt = make_salt(request.scope, target.weights);
     const auto tokens = stored_tokens(view.stored_prompts, store.address, request.chain, salt);
-    const bool is_guess = !is_up_to_date(view.stored_prompts, store.address, view.now);
-    if (tokens == 0 && !is_guess) {
+    const bool is_speculative = !is_up_to_date(view.stored_prompts, store.address, view.now);
+    if (tokens == 0 && !is_speculative) {
         return {};
     }
     const double factor = zone_factor(store.zone, target.engine->listed.zone);
@@ -98,9 +100,10 @@
 
 double estimated_cost_ms(const prompt_source& source, const prompt_request& request,
                          const placement_context& view) {
-    const auto all = static_cast<double>(request.chain.total_tokens());
-    const double to_read = all - static_cast<double>(source.tokens);
-    const latency::prefill_work work{to_read, 0.0, latency::attention_pairs(to_read, all)};
+    const auto total_tokens = static_cast<double>(request.chain.total_tokens());
+    const double prefill_tokens = total_tokens - static_cast<double>(source.tokens);
+    const latency::prefill_work work{prefill_tokens, 0.0,
+                                     latency::attention_pairs(prefill_tokens, total_tokens)};
     return source.fetch_ms + prefill_cost_weight * latency::prefill_ms(view.model, work);
 }
 
@@ -118,20 +121,20 @@
 
 const routes::kv_store* select_store(const prompt_request& request, const placement_context& view,
                                      const fleet::member* home) {
-    std::vector<const routes::kv_store*> up;
+    std::vector<const routes::kv_store*> reachable;
     std::vector<const routes::kv_store*> in_home_zone;
     for (const auto& each : view.stores) {
         const auto known = view.stored_prompts.find(each.address);
         if (known != view.stored_prompts.end() && known->second.down) {
             continue;
         }
-        up.push_back(&each);
+        reachable.push_back(&each);
         if (home != nullptr && each.zone == home->listed.zone) {
             in_home_zone.push_back(&each);
         }
     }
-    const auto& among = in_home_zone.empty() ? up : in_home_zone;
-    return among.empty() ? nullptr : among[request.chain.levels.back().key % among.size()];
+    const auto& choices = in_home_zone.empty() ? reachable : in_home_zone;
+    return choices.empty() ? nullptr : choices[request.chain.levels.back().key % choices.size()];
 }
 
 prompt_source best_source(const candidate& target, const prompt_request& request,
@@ -145,8 +148,8 @@
     const double by_engine = estimated_cost_ms(from_engine, request, view);
     const double by_store = estimated_cost_ms(from_store, request, view) +
                             (store_link_weight - 1.0) * from_store.fetch_ms;
-    const bool guess_alone = from_engine.address.empty() && from_store.tokens == 0;
-    return guess_alone || by_store < by_engine ? from_store : from_engine;
+    const bool only_speculative = from_engine.address.empty() && from_store.tokens == 0;
+    return only_speculative || by_store < by_engine ? from_store : from_engine;
 }
 
 double fetch_ms_per_token(const routes::pool& pool) {
--- a/src/kvcache/size_fairness.cpp
+++ b/src/kvcache/size_fairness.cpp
@@ -26,14 +26,14 @@
 
 // Share of the prompts with at least this size that were accepted.
 double accepted_share(const size_history& record, std::int64_t least_tokens) {
-    int came = 0;
-    int taken = 0;
+    int total = 0;
+    int accepted = 0;
     for (const auto& each : record.prompts) {
         const bool counts = each.tokens >= least_tokens;
-        came += counts ? 1 : 0;
-        taken += counts && each.accepted ? 1 : 0;
+        total += counts ? 1 : 0;
+        accepted += counts && each.accepted ? 1 : 0;
     }
-    return came == 0 ? 1.0 : static_cast<double>(taken) / came;
+    return total == 0 ? 1.0 : static_cast<double>(accepted) / total;
 }
 
 bool is_underserved(const size_history& record, std::int64_t tokens,
@@ -41,9 +41,9 @@
     if (record.prompts.size() < rules.min_samples) {
         return false;
     }
-    const std::int64_t as_large =
+    const std::int64_t min_size =
         std::min(tokens, large_prompt_threshold(record, rules.large_share));
-    return accepted_share(record, as_large) <
+    return accepted_share(record, min_size) <
            rules.min_relative_acceptance * accepted_share(record, 0);
 }
 
--- a/src/kvcache/size_fairness_tests.cpp
+++ b/src/kvcache/size_fairness_tests.cpp
@@ -34,10 +34,10 @@
 };
 
 struct tally {
-    int asked = 0;
+    int arrived = 0;
     int served = 0;
 
-    [[nodiscard]] double share() const { return static_cast<double>(this->served) / this->asked; }
+    [[nodiscard]] double share() const { return static_cast<double>(this->served) / this->arrived; }
 };
 
 struct outcome {
@@ -66,31 +66,31 @@
 // rejection.
 outcome run_day() {
     base::random_source random{11};
-    entry taking;
+    entry admission;
     std::array<double, engine_count> busy_until{};
-    std::vector<prompt> returning;
+    std::vector<prompt> pending_retries;
     outcome result;
     double next_ms = 0.0;
     std::uint64_t number = 0;
-    const auto end = [&result](const prompt& one, bool served) {
+    const auto finish = [&result](const prompt& one, bool served) {
         for (auto* each : {&result.by_size[one.size], &result.all}) {
-            each->asked += 1;
+            each->arrived += 1;
             each->served += served ? 1 : 0;
         }
     };
     const auto arrive = [&](prompt one, int now) {
         auto& first_free = *std::min_element(busy_until.begin(), busy_until.end());
         const double wait_ms = std::max(0.0, first_free - now);
-        if (taking.takes(one, wait_ms)) {
+        if (admission.takes(one, wait_ms)) {
             const double own_ms = static_cast<double>(tokens_of[one.size]) / tokens_per_ms;
             first_free = now + wait_ms + own_ms;
-            end(one, wait_ms + own_ms <= client_timeout_ms);
+            finish(one, wait_ms + own_ms <= client_timeout_ms);
         } else if (one.is_retry) {
-            end(one, false);
+            finish(one, false);
         } else {
             one.is_retry = true;
             one.arrived_ms = now + static_cast<int>(kvcache::retry_delay(++number * 7919).count());
-            returning.push_back(one);
+            pending_retries.push_back(one);
         }
     };
     const double between_ms =
@@ -99,14 +99,14 @@
         for (; next_ms <= now; next_ms += base::random_exponential(random, between_ms)) {
             arrive({draw_size(random), now, false}, now);
         }
-        for (std::size_t at = 0; at < returning.size();) {
-            if (returning[at].arrived_ms > now) {
+        for (std::size_t at = 0; at < pending_retries.size();) {
+            if (pending_retries[at].arrived_ms > now) {
                 ++at;
                 continue;
             }
-            const prompt back = returning[at];
-            returning.erase(returning.begin() + static_cast<std::ptrdiff_t>(at));
-            arrive(back, now);
+            const prompt retry = pending_retries[at];
+            pending_retries.erase(pending_retries.begin() + static_cast<std::ptrdiff_t>(at));
+            arrive(retry, now);
         }
     }
     return result;
@@ -135,34 +135,34 @@
     const auto judge = [&](std::int64_t tokens, double wait_ms, double first_byte_ms) {
         return kvcache::decide_admission(record, {tokens, wait_ms, first_byte_ms, target}, rules);
     };
-    const auto come = [&](int count, std::int64_t tokens, bool taken) {
+    const auto add_prompts = [&](int count, std::int64_t tokens, bool taken) {
         record.prompts.insert(record.prompts.end(), count, {tokens, taken});
     };
     constexpr std::int64_t small = 1000;
     constexpr std::int64_t big = 30000;
 
     SECTION("it is rejected if there are too few prompts to compute rates") {
-        come(20, small, true);
-        come(5, big, false);
+        add_prompts(20, small, true);
+        add_prompts(5, big, false);
         CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
     SECTION("it is rejected while the acceptance rate of its size is at least half of the overall "
             "rate") {
-        come(45, small, true);
-        come(5, big, true);
-        come(3, big, false);
+        add_prompts(45, small, true);
+        add_prompts(5, big, true);
+        add_prompts(3, big, false);
         CHECK(judge(big, 600, 1100) == kvcache::admission_decision::rejected);
     }
     SECTION("it is accepted below that rate, unless the wait alone takes the whole target") {
-        come(45, small, true);
-        come(1, big, true);
-        come(9, big, false);
+        add_prompts(45, small, true);
+        add_prompts(1, big, true);
+        add_prompts(9, big, false);
         CHECK(judge(big, 1000, 1500) == kvcache::admission_decision::rejected);
         CHECK(judge(big, 600, 1100) == kvcache::admission_decision::accepted_for_fairness);
         CHECK(judge(small, 990, 1010) == kvcache::admission_decision::rejected);
     }
     SECTION("prompts outside of the window do not count") {
-        come(50, big, false);
+        add_prompts(50, big, false);
         for (std::size_t each = 0; each < rules.window_size; ++each) {
             CHECK(judge(small, 0, 50) == kvcache::admission_decision::accepted);
         }
--- a/src/kvcache/store_index.cpp
+++ b/src/kvcache/store_index.cpp
@@ -52,24 +52,24 @@
                          base::micros(static_cast<std::int64_t>(ms * micros_per_ms));
 }
 
-double transfer_wait_ms(const store_index& copies, const std::string& address, base::instant now) {
-    const auto found = copies.find(address);
-    if (found == copies.end() || found->second.link_free_at <= now) {
+double transfer_wait_ms(const store_index& index, const std::string& address, base::instant now) {
+    const auto found = index.find(address);
+    if (found == index.end() || found->second.link_free_at <= now) {
         return 0.0;
     }
     return std::chrono::duration<double, std::milli>(found->second.link_free_at - now).count();
 }
 
-bool is_up_to_date(const store_index& copies, const std::string& address, base::instant now) {
-    const auto found = copies.find(address);
-    return found != copies.end() && found->second.updated_at != base::instant{} &&
+bool is_up_to_date(const store_index& index, const std::string& address, base::instant now) {
+    const auto found = index.find(address);
+    return found != index.end() && found->second.updated_at != base::instant{} &&
            now - found->second.updated_at <= max_update_age;
 }
 
-std::int64_t stored_tokens(const store_index& copies, const std::string& address,
+std::int64_t stored_tokens(const store_index& index, const std::string& address,
                            const prompt_chain& chain, const std::string& salt) {
-    const auto found = copies.find(address);
-    if (found == copies.end()) {
+    const auto found = index.find(address);
+    if (found == index.end()) {
         return 0;
     }
     std::int64_t tokens = 0;
--- a/src/kvcache/store_index.h
+++ b/src/kvcache/store_index.h
@@ -55,14 +55,14 @@
 void record_transfer(store_contents& store, double ms, base::instant now);
 
 // How long a transfer ordered now would wait for earlier ones.
-double transfer_wait_ms(const store_index& copies, const std::string& address, base::instant now);
+double transfer_wait_ms(const store_index& index, const std::string& address, base::instant now);
 
 // Whether the known contents of a store are recent enough to rely on. Without recent events, the
 // store may hold anything.
-bool is_up_to_date(const store_index& copies, const std::string& address, base::instant now);
+bool is_up_to_date(const store_index& index, const std::string& address, base::instant now);
 
 // Number of tokens in a prompt's leading levels that the store holds under a salt.
-std::int64_t stored_tokens(const store_index& copies, const std::string& address,
+std::int64_t stored_tokens(const store_index& index, const std::string& address,
                            const prompt_chain& chain, const std::string& salt);
 
 } // namespace camphorrail::kvcache
--- a/src/latency/first_byte.cpp
+++ b/src/latency/first_byte.cpp
@@ -45,7 +45,7 @@
     return sum;
 }
 
-void add(first_byte_model& model, const vector& x, double ms, double weight) {
+void add_weighted(first_byte_model& model, const vector& x, double ms, double weight) {
     for (std::size_t row = 0; row < term_count; ++row) {
         for (std::size_t column = 0; column < term_count; ++column) {
             model.normal_matrix[row][column] += weight * x[row] * x[column];
@@ -57,10 +57,10 @@
 // Adds three artificial samples of the initial coefficients. They do not decay, so that a few
 // samples of one length do not lead to absurd predictions for other lengths.
 void add_prior(first_byte_model& model) {
-    static const first_byte_model unseen;
+    static const first_byte_model initial;
     for (const double tokens : prior_prompt_tokens) {
         const vector x = features_of({tokens, 0.0, attention_pairs(tokens, tokens)});
-        add(model, x, dot_product(unseen.coefficients, x), prior_weight);
+        add_weighted(model, x, dot_product(initial.coefficients, x), prior_weight);
     }
 }
 
@@ -97,48 +97,49 @@
 }
 
 void decay(first_byte_model& model, base::instant now) {
-    const double passed = std::chrono::duration<double>(now - model.updated_at).count();
+    const double elapsed = std::chrono::duration<double>(now - model.updated_at).count();
     model.updated_at = std::max(model.updated_at, now);
-    if (passed <= 0.0 || model.weight == 0.0) {
+    if (elapsed <= 0.0 || model.weight == 0.0) {
         return;
     }
-    const double kept = std::exp2(-passed / half_life_s);
+    const double decay_factor = std::exp2(-elapsed / half_life_s);
     for (auto& row : model.normal_matrix) {
         for (auto& each : row) {
-            each *= kept;
+            each *= decay_factor;
         }
     }
     for (auto& each : model.normal_vector) {
-        each *= kept;
+        each *= decay_factor;
     }
-    model.weight *= kept;
+    model.weight *= decay_factor;
 }
 
 } // namespace
 
-double attention_pairs(double to_read, double all_tokens) {
+double attention_pairs(double tokens, double total_tokens) {
     constexpr double million = 1e6;
-    return to_read * (all_tokens - to_read / 2.0) / million;
+    return tokens * (total_tokens - tokens / 2.0) / million;
 }
 
 void record_first_byte(first_byte_model& model, const first_byte_sample& sample,
                        base::instant now) {
     decay(model, now);
     const vector x = features_of(sample.work);
-    const double off = std::abs(sample.ms - dot_product(model.coefficients, x));
-    const double trusted = full_weight_deviations * model.deviation_ms;
-    const double share = off <= trusted ? 1.0 : trusted / off;
-    const double weight = share * share;
-    const double counted = std::min(off, max_deviations * model.deviation_ms);
+    const double deviation = std::abs(sample.ms - dot_product(model.coefficients, x));
+    const double full_weight_limit = full_weight_deviations * model.deviation_ms;
+    const double weight_ratio =
+        deviation <= full_weight_limit ? 1.0 : full_weight_limit / deviation;
+    const double weight = weight_ratio * weight_ratio;
+    const double clipped = std::min(deviation, max_deviations * model.deviation_ms);
     model.deviation_ms =
-        std::clamp(model.deviation_ms + deviation_step * (counted - model.deviation_ms),
+        std::clamp(model.deviation_ms + deviation_step * (clipped - model.deviation_ms),
                    min_deviation_ms, max_deviation_ms);
-    add(model, x, sample.ms, weight);
+    add_weighted(model, x, sample.ms, weight);
     model.weight += weight;
-    first_byte_model all = model;
-    add_prior(all);
+    first_byte_model with_prior = model;
+    add_prior(with_prior);
     vector solved{};
-    if (solve(all.normal_matrix, all.normal_vector, solved)) {
+    if (solve(with_prior.normal_matrix, with_prior.normal_vector, solved)) {
         model.coefficients = {std::clamp(solved[0], 0.0, max_fixed_ms),
                               std::clamp(solved[1], min_token_ms, max_token_ms),
                               std::clamp(solved[2], 0.0, max_million_pairs_ms)};
--- a/src/latency/first_byte.h
+++ b/src/latency/first_byte.h
@@ -20,7 +20,7 @@
 
 // Returns the attention pairs, in millions, of a prompt whose last `tokens` of `total_tokens`
 // tokens are prefilled while the beginning is cached.
-double attention_pairs(double to_read, double all_tokens);
+double attention_pairs(double tokens, double total_tokens);
 
 // Time from sending a request to its first event.
 struct first_byte_sample {
--- a/src/routing/affinity.cpp
+++ b/src/routing/affinity.cpp
@@ -18,16 +18,16 @@
         table.by_key[level_key] = table.newest_first.begin();
     }
     auto& holders = table.newest_first.front().holders;
-    auto* place = std::find_if(holders.begin(), holders.end(), [&seen](const holder& item) {
-        return item.upstream == seen.upstream;
+    auto* slot = std::find_if(holders.begin(), holders.end(), [&seen](const holder& each) {
+        return each.upstream == seen.upstream;
     });
-    if (place == holders.end()) {
-        place = std::min_element(holders.begin(), holders.end(),
-                                 [](const holder& left, const holder& right) {
-                                     return left.last_used < right.last_used;
-                                 });
+    if (slot == holders.end()) {
+        slot = std::min_element(holders.begin(), holders.end(),
+                                [](const holder& left, const holder& right) {
+                                    return left.last_used < right.last_used;
+                                });
     }
-    *place = seen;
+    *slot = seen;
     if (table.by_key.size() > table.capacity) {
         table.by_key.erase(table.newest_first.back().key);
         table.newest_first.pop_back();
@@ -39,9 +39,9 @@
     if (found == table.by_key.end()) {
         return;
     }
-    for (holder& item : found->second->holders) {
-        if (item.upstream == upstream) {
-            item = {};
+    for (holder& each : found->second->holders) {
+        if (each.upstream == upstream) {
+            each = {};
         }
     }
 }
--- a/src/routing/engine_view.cpp
+++ b/src/routing/engine_view.cpp
@@ -38,8 +38,9 @@
 work_estimate estimate_work(const engine_view& view, const prefix::prefix_chain& chain,
                             base::instant now) {
     base::random_source unused;
-    const auto made = choose_upstream(view.pool, view.table, {&chain, {}}, now, unused, view.rules);
-    return made ? work_estimate{made->expected_prefill, made->basis} : work_estimate{};
+    const auto chosen =
+        choose_upstream(view.pool, view.table, {&chain, {}}, now, unused, view.rules);
+    return chosen ? work_estimate{chosen->expected_prefill, chosen->basis} : work_estimate{};
 }
 
 void record_accepted(engine_view& view, const prefix::prefix_chain& chain, base::instant now) {
@@ -69,10 +70,10 @@
     }
     constexpr double probable = 0.5;
     const auto& self = view.pool.upstreams.front();
-    for (const holder& item : record->holders) {
-        if (item.upstream == self.hash &&
-            item.engine_incarnation == self.health.engine_incarnation) {
-            return hint_hit_rate(view.pool, now - item.last_used) >= probable;
+    for (const holder& each : record->holders) {
+        if (each.upstream == self.hash &&
+            each.engine_incarnation == self.health.engine_incarnation) {
+            return hint_hit_rate(view.pool, now - each.last_used) >= probable;
         }
     }
     return false;
@@ -85,23 +86,23 @@
     if (shared == nullptr) {
         return {};
     }
-    probe_result answer;
+    probe_result result;
     if (const auto* record = find(notes, shared->key)) {
-        for (const holder& item : record->holders) {
-            if (item.upstream != 0 && now - item.last_used < max_note_age) {
-                answer.holders.push_back(item.upstream);
+        for (const holder& each : record->holders) {
+            if (each.upstream != 0 && now - each.last_used < max_note_age) {
+                result.holders.push_back(each.upstream);
             }
         }
     }
     if (probably_cached(view, shared->key, now)) {
-        const double elsewhere = rules.recompute_weight *
-                                 static_cast<double>(shared->length.value) *
-                                 view.prefill_us_per_token;
-        answer.forward = static_cast<double>(wait.count()) > elsewhere;
+        const double prefill_elsewhere = rules.recompute_weight *
+                                         static_cast<double>(shared->length.value) *
+                                         view.prefill_us_per_token;
+        result.forward = static_cast<double>(wait.count()) > prefill_elsewhere;
     } else {
-        answer.forward = !answer.holders.empty() || wait > rules.max_wait;
+        result.forward = !result.holders.empty() || wait > rules.max_wait;
     }
-    return answer;
+    return result;
 }
 
 } // namespace camphorrail::routing
--- a/src/routing/popularity.h
+++ b/src/routing/popularity.h
@@ -21,10 +21,10 @@
     count total;
 };
 
-void record_request(popularity& seen, std::uint64_t prefix, base::instant now);
+void record_request(popularity& traffic, std::uint64_t prefix, base::instant now);
 
 // Share of a prefix, from 0 to 1. Entries behind the same load balancer compute about the same
 // shares without communicating.
-double traffic_share(const popularity& seen, std::uint64_t prefix, base::instant now);
+double traffic_share(const popularity& traffic, std::uint64_t prefix, base::instant now);
 
 } // namespace camphorrail::routing
--- a/src/routing/rendezvous.cpp
+++ b/src/routing/rendezvous.cpp
@@ -11,22 +11,22 @@
     std::vector<std::pair<std::uint64_t, std::size_t>> best;
     best.reserve(count + 1);
     for (std::size_t index = 0; index < members.size(); ++index) {
-        const std::uint64_t value = score(members[index], key);
-        if (best.size() == count && value <= best.back().first) {
+        const std::uint64_t member_score = score(members[index], key);
+        if (best.size() == count && member_score <= best.back().first) {
             continue;
         }
-        auto place = best.begin();
-        while (place != best.end() && place->first >= value) {
-            ++place;
+        auto position = best.begin();
+        while (position != best.end() && position->first >= member_score) {
+            ++position;
         }
-        best.insert(place, {value, index});
+        best.insert(position, {member_score, index});
         if (best.size() > count) {
             best.pop_back();
         }
     }
     std::vector<std::size_t> indexes;
     indexes.reserve(best.size());
-    for (const auto& [value, index] : best) {
+    for (const auto& [member_score, index] : best) {
         indexes.push_back(index);
     }
     return indexes;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double first_bucket_us = 62500;
+constexpr double first_age_bucket_us = 62500;
 // Share of a level's own tokens that must have been cached for a hit, since the engine's blocks are
 // not aligned with levels.
 constexpr double min_hit_fraction = 0.5;
@@ -18,7 +18,7 @@
 constexpr base::micros notify_interval = base::seconds(5);
 
 std::size_t age_bucket(base::micros age) {
-    const double units = static_cast<double>(age.count()) / first_bucket_us;
+    const double units = static_cast<double>(age.count()) / first_age_bucket_us;
     if (units < 1) {
         return 0;
     }
@@ -31,12 +31,12 @@
     if (record == nullptr) {
         return nullptr;
     }
-    for (const holder& item : record->holders) {
+    for (const holder& each : record->holders) {
         // A hint from an earlier incarnation of the engine is invalid, since the engine has lost
         // its cache.
-        if (item.upstream == view.hash &&
-            item.engine_incarnation == view.health.engine_incarnation) {
-            return &item;
+        if (each.upstream == view.hash &&
+            each.engine_incarnation == view.health.engine_incarnation) {
+            return &each;
         }
     }
     return nullptr;
@@ -118,17 +118,17 @@
                        const prefix::prefix_chain& chain, const level_homes& home_of,
                        std::size_t index, base::instant now) {
     double cached = 0;
-    double deeper = 0;
+    double probability = 0;
     for (std::size_t level = chain.size(); level-- > 0;) {
         const holder* hint = find_holder(table, chain[level].key, pool.upstreams[index]);
-        const double likely = hint != nullptr
-                                  ? pool.hint_priors[age_bucket(now - hint->last_used)].rate
-                                  : pool.home_priors[depth_from_end(chain, level)]
-                                        .by_rank[home_rank(home_of[level], index)]
-                                        .rate;
-        deeper = std::max(deeper, likely);
-        const std::int64_t below = level == 0 ? 0 : chain[level - 1].length.value;
-        cached += deeper * static_cast<double>(chain[level].length.value - below);
+        const double level_probability =
+            hint != nullptr ? pool.hint_priors[age_bucket(now - hint->last_used)].rate
+                            : pool.home_priors[depth_from_end(chain, level)]
+                                  .by_rank[home_rank(home_of[level], index)]
+                                  .rate;
+        probability = std::max(probability, level_probability);
+        const std::int64_t previous_length = level == 0 ? 0 : chain[level - 1].length.value;
+        cached += probability * static_cast<double>(chain[level].length.value - previous_length);
     }
     return cached;
 }
@@ -136,9 +136,8 @@
 base::micros expected_wait(const upstream_view& view, base::instant now,
                            const routing_rules& rules) {
     // The upstream works off the reported backlog while the report ages.
-    const base::micros since = now - view.reported_at;
-    base::micros wait =
-        std::max(base::micros{0}, view.reported_wait + view.unreported_work - since);
+    const base::micros age = now - view.reported_at;
+    base::micros wait = std::max(base::micros{0}, view.reported_wait + view.unreported_work - age);
     const double cold = 1.0 - membership::slow_start_factor(view.health, now, rules.health);
     wait += base::micros(
         static_cast<std::int64_t>(cold * static_cast<double>(rules.slow_start_wait.count())));
@@ -157,9 +156,9 @@
     if (record == nullptr) {
         return;
     }
-    for (const holder& item : record->holders) {
-        const auto found = std::find(pool.hashes.begin(), pool.hashes.end(), item.upstream);
-        if (item.upstream != 0 && found != pool.hashes.end()) {
+    for (const holder& each : record->holders) {
+        const auto found = std::find(pool.hashes.begin(), pool.hashes.end(), each.upstream);
+        if (each.upstream != 0 && found != pool.hashes.end()) {
             add_candidate(candidates, static_cast<std::size_t>(found - pool.hashes.begin()));
         }
     }
@@ -248,7 +247,7 @@
 
 void set_members(pool_view& pool, const std::vector<base::upstream_id>& ids,
                  const std::vector<base::availability_zone>& zones) {
-    std::vector<upstream_view> next;
+    std::vector<upstream_view> updated;
     for (std::size_t index = 0; index < ids.size(); ++index) {
         upstream_view view;
         if (const upstream_view* known = find(pool, ids[index])) {
@@ -258,9 +257,9 @@
             view.hash = base::stable_hash(ids[index].value);
         }
         view.zone = zones[index];
-        next.push_back(std::move(view));
+        updated.push_back(std::move(view));
     }
-    pool.upstreams = std::move(next);
+    pool.upstreams = std::move(updated);
     pool.hashes.clear();
     for (const upstream_view& view : pool.upstreams) {
         pool.hashes.push_back(view.hash);
@@ -292,16 +291,16 @@
     return cheapest(pool, table, request, home_of, all, now, rules);
 }
 
-void record_sent(pool_view& pool, affinity_table& table, const choice& made,
+void record_sent(pool_view& pool, affinity_table& table, const choice& chosen,
                  const prefix::prefix_chain& chain, base::instant now) {
-    const upstream_view& view = pool.upstreams[made.index];
+    const upstream_view& view = pool.upstreams[chosen.index];
     for (std::size_t level = 0; level + 1 < chain.size(); ++level) {
         add_holder(table, chain[level].key, {view.hash, view.health.engine_incarnation, now});
     }
     if (!chain.empty()) {
         record_request(pool.prefix_popularity, chain.front().key, now);
     }
-    pool.upstreams[made.index].unreported_work += made.expected_prefill;
+    pool.upstreams[chosen.index].unreported_work += chosen.expected_prefill;
 }
 
 void record_rejected(const pool_view& pool, affinity_table& table, const base::upstream_id& id,
@@ -337,14 +336,16 @@
         return;
     }
     for (std::size_t level = 0; level < std::min(chain.size(), basis.size()); ++level) {
-        const std::int64_t below = level == 0 ? 0 : chain[level - 1].length.value;
-        const bool hit = static_cast<double>(cached.value - below) >=
-                         min_hit_fraction * static_cast<double>(chain[level].length.value - below);
-        const level_basis& by = basis[level];
-        update_estimate(by.from_hint
-                            ? pool.hint_priors[by.index]
-                            : pool.home_priors[depth_from_end(chain, level)].by_rank[by.index],
-                        hit, rules.learning_rate);
+        const std::int64_t previous_length = level == 0 ? 0 : chain[level - 1].length.value;
+        const bool hit =
+            static_cast<double>(cached.value - previous_length) >=
+            min_hit_fraction * static_cast<double>(chain[level].length.value - previous_length);
+        const level_basis& expected = basis[level];
+        update_estimate(
+            expected.from_hint
+                ? pool.hint_priors[expected.index]
+                : pool.home_priors[depth_from_end(chain, level)].by_rank[expected.index],
+            hit, rules.learning_rate);
     }
     for (const auto& level : chain) {
         add_holder(table, level.key, {view->hash, view->health.engine_incarnation, now});
--- a/src/routing/router_tests.cpp
+++ b/src/routing/router_tests.cpp
@@ -22,8 +22,8 @@
 }
 
 void report(routing::pool_view& pool, std::size_t index, base::micros wait, base::instant now,
-            std::int64_t life = 1) {
-    routing::record_load(pool, pool.upstreams[index].id, wait, prefill_us, life, now);
+            std::int64_t incarnation = 1) {
+    routing::record_load(pool, pool.upstreams[index].id, wait, prefill_us, incarnation, now);
 }
 
 } // namespace
@@ -38,32 +38,32 @@
     for (std::size_t index = 0; index < pool.upstreams.size(); ++index) {
         report(pool, index, base::micros{0}, now);
     }
-    const auto pick = [&](const routing::routing_request& request, base::instant when) {
+    const auto choose = [&](const routing::routing_request& request, base::instant when) {
         return routing::choose_upstream(pool, table, request, when, random, rules);
     };
-    const auto first = pick({&chain}, now);
+    const auto first = choose({&chain}, now);
     REQUIRE(first);
     const auto home = first->index;
     routing::record_served(pool, table, pool.upstreams[home].id, chain, first->basis, {0}, now,
                            rules);
 
     SECTION("returns to the upstream that served the prefix") {
-        CHECK(pick({&chain}, now)->index == home);
+        CHECK(choose({&chain}, now)->index == home);
     }
 
     SECTION("switches upstreams once waiting costs more than prefilling the prefix again") {
         report(pool, home, base::seconds(5), now);
-        CHECK(pick({&chain}, now)->index != home);
+        CHECK(choose({&chain}, now)->index != home);
     }
 
     // The engine crashed and restarted with an empty cache. Hints from its earlier incarnation
     // would direct its former prefixes there as if they were cached, and each would be prefilled
     // again.
     SECTION("ignores hints from an earlier incarnation of the engine") {
-        const auto before = pick({&chain}, now)->expected_cached;
+        const auto before = choose({&chain}, now)->expected_cached;
         report(pool, home, base::micros{0}, now, 2);
         const auto later = now + base::seconds(60);
-        const auto after = pick({&chain}, later);
+        const auto after = choose({&chain}, later);
         CHECK(after->expected_cached.value <= before.value);
         const auto* record = routing::find(table, 11);
         REQUIRE(record != nullptr);
@@ -78,9 +78,9 @@
                 view.health.draining = true;
             }
         }
-        CHECK(pick(request, now)->index == 3);
+        CHECK(choose(request, now)->index == 3);
         request.excluded.push_back(pool.upstreams[3].id);
-        CHECK_FALSE(pick(request, now));
+        CHECK_FALSE(choose(request, now));
     }
 
     SECTION("keeps the state of remaining upstreams when the members change") {
--- a/src/weights/drain_tests.cpp
+++ b/src/weights/drain_tests.cpp
@@ -21,34 +21,34 @@
 // that can be continued on another upstream, and requests of one second that can't.
 struct simulated_pool {
     static constexpr int step_ms = 20;
-    static constexpr int answer_ms = 3400;
-    static constexpr int call_ms = 1000;
+    static constexpr int response_ms = 3400;
+    static constexpr int request_ms = 1000;
     static constexpr int load_ms = 420;
     static constexpr std::size_t slots = 48;
 
     struct upstream {
         weights::load_candidate seen;
-        std::vector<int> answers_end;
-        std::vector<int> calls_end;
+        std::vector<int> response_ends;
+        std::vector<int> request_ends;
         int drained_since = -1;
         int changed_at = -1;
     };
 
-    std::vector<upstream> all;
+    std::vector<upstream> upstreams;
     int moved_responses = 0;
     // Requests that were sent to an upstream without a free slot.
     int delayed_requests = 0;
-    int answers = 0;
+    int responses = 0;
     int responses_per_second = 0;
     std::size_t fewest_serving = 0;
-    int next_answer = 0;
-    int next_call = 0;
+    int next_response = 0;
+    int next_request = 0;
 
     simulated_pool(std::size_t count, int responses_per_second)
-        : all(count), responses_per_second(responses_per_second), fewest_serving(count) {
+        : upstreams(count), responses_per_second(responses_per_second), fewest_serving(count) {
         for (std::size_t each = 0; each < count; ++each) {
-            this->all[each].seen.id = {"e" + std::to_string(10 + each)};
-            this->all[each].seen.version = 1;
+            this->upstreams[each].seen.id = {"e" + std::to_string(10 + each)};
+            this->upstreams[each].seen.version = 1;
         }
     }
 
@@ -56,45 +56,48 @@
         return one.drained_since < 0 && one.changed_at < 0;
     }
 
-    static std::size_t work_of(const upstream& one) {
-        return one.answers_end.size() + one.calls_end.size();
+    static std::size_t requests_at(const upstream& one) {
+        return one.response_ends.size() + one.request_ends.size();
     }
 
     [[nodiscard]] static bool is_less_busy(const upstream& left, const upstream& right) {
-        return std::pair(!serves(left), work_of(left)) < std::pair(!serves(right), work_of(right));
+        return std::pair(!serves(left), requests_at(left)) <
+               std::pair(!serves(right), requests_at(right));
     }
 
     upstream& least_busy() {
-        auto& found = *std::min_element(this->all.begin(), this->all.end(), is_less_busy);
-        this->delayed_requests += work_of(found) >= slots ? 1 : 0;
+        auto& found =
+            *std::min_element(this->upstreams.begin(), this->upstreams.end(), is_less_busy);
+        this->delayed_requests += requests_at(found) >= slots ? 1 : 0;
         return found;
     }
 
     [[nodiscard]] weights::pool_load load_without(const upstream& changing) const {
         weights::pool_load found;
-        for (const auto& each : this->all) {
-            found.in_flight += static_cast<std::int64_t>(work_of(each));
-            const bool is_there = serves(each) && &each != &changing;
-            found.slots += is_there ? static_cast<std::int64_t>(slots) : 0;
+        for (const auto& each : this->upstreams) {
+            found.in_flight += static_cast<std::int64_t>(requests_at(each));
+            const bool is_serving_other = serves(each) && &each != &changing;
+            found.slots += is_serving_other ? static_cast<std::int64_t>(slots) : 0;
         }
         return found;
     }
 
     // 60 calls per second in addition to the responses.
     void take_requests(int now) {
-        for (; this->next_answer <= now * this->responses_per_second / 1000; ++this->next_answer) {
-            this->least_busy().answers_end.push_back(now + answer_ms);
-            ++this->answers;
+        for (; this->next_response <= now * this->responses_per_second / 1000;
+             ++this->next_response) {
+            this->least_busy().response_ends.push_back(now + response_ms);
+            ++this->responses;
         }
-        for (; this->next_call <= now * 60 / 1000; ++this->next_call) {
-            this->least_busy().calls_end.push_back(now + call_ms);
+        for (; this->next_request <= now * 60 / 1000; ++this->next_request) {
+            this->least_busy().request_ends.push_back(now + request_ms);
         }
     }
 
     void finish(upstream& one, int now) {
         const auto is_over = [now](int end) { return end <= now; };
-        std::erase_if(one.answers_end, is_over);
-        std::erase_if(one.calls_end, is_over);
+        std::erase_if(one.response_ends, is_over);
+        std::erase_if(one.request_ends, is_over);
         if (one.changed_at >= 0 && now >= one.changed_at) {
             one.changed_at = -1;
             one.seen.loading = false;
@@ -106,14 +109,14 @@
     void change(upstream& one, int now) {
         one.drained_since = -1;
         one.changed_at = now + load_ms;
-        if (one.calls_end.empty()) {
-            for (const int end : std::exchange(one.answers_end, {})) {
-                this->least_busy().answers_end.push_back(end);
+        if (one.request_ends.empty()) {
+            for (const int end : std::exchange(one.response_ends, {})) {
+                this->least_busy().response_ends.push_back(end);
                 ++this->moved_responses;
             }
         }
         // Requests that are not aborted are completed first.
-        for (const auto* ends : {&one.answers_end, &one.calls_end}) {
+        for (const auto* ends : {&one.response_ends, &one.request_ends}) {
             for (const int end : *ends) {
                 one.changed_at = std::max(one.changed_at, end + load_ms);
             }
@@ -121,28 +124,28 @@
     }
 
     void drain(upstream& one, int now) {
-        const auto unrepeatable = static_cast<std::int64_t>(one.calls_end.size());
+        const auto unrepeatable = static_cast<std::int64_t>(one.request_ends.size());
         if (weights::is_drained({milliseconds(now - one.drained_since), unrepeatable}, {})) {
             this->change(one, now);
         }
     }
 
-    void step(int now, bool named) {
-        for (auto& each : this->all) {
+    void step(int now, bool published) {
+        for (auto& each : this->upstreams) {
             this->finish(each, now);
-            each.seen.in_flight = static_cast<std::int64_t>(work_of(each));
+            each.seen.in_flight = static_cast<std::int64_t>(requests_at(each));
             if (each.drained_since >= 0) {
                 this->drain(each, now);
             }
         }
         std::vector<weights::load_candidate> seen;
-        for (const auto& each : this->all) {
+        for (const auto& each : this->upstreams) {
             seen.push_back(each.seen);
         }
-        const auto due =
-            named ? weights::plan_loads(seen, 2, at(now), {}) : std::vector<base::upstream_id>{};
+        const auto due = published ? weights::plan_loads(seen, 2, at(now), {})
+                                   : std::vector<base::upstream_id>{};
         for (const auto& id : due) {
-            const auto found = std::find_if(this->all.begin(), this->all.end(),
+            const auto found = std::find_if(this->upstreams.begin(), this->upstreams.end(),
                                             [&id](const auto& one) { return one.seen.id == id; });
             found->seen.loading = true;
             if (weights::is_crowded(this->load_without(*found), {})) {
@@ -151,7 +154,7 @@
                 found->drained_since = now;
             }
         }
-        const auto serving = std::count_if(this->all.begin(), this->all.end(), serves);
+        const auto serving = std::count_if(this->upstreams.begin(), this->upstreams.end(), serves);
         this->fewest_serving = std::min(this->fewest_serving, static_cast<std::size_t>(serving));
         this->take_requests(now);
     }
@@ -162,7 +165,7 @@
         constexpr int longest_ms = 60'000;
         for (int now = 0; now < longest_ms; now += step_ms) {
             this->step(now, now >= published_ms);
-            const bool done = std::all_of(this->all.begin(), this->all.end(),
+            const bool done = std::all_of(this->upstreams.begin(), this->upstreams.end(),
                                           [](const auto& one) { return one.seen.version == 2; });
             if (done) {
                 return now - published_ms;
@@ -198,10 +201,10 @@
     CHECK(pool.run(6000) < bound_ms);
 
     SECTION("two thirds of the upstreams keep serving") {
-        CHECK(pool.fewest_serving * 3 >= pool.all.size() * 2);
+        CHECK(pool.fewest_serving * 3 >= pool.upstreams.size() * 2);
     }
     SECTION("fewer than half of the responses are continued on another upstream") {
-        CHECK(pool.moved_responses < pool.answers / 2);
+        CHECK(pool.moved_responses < pool.responses / 2);
     }
 }
 
--- a/src/weights/term.cpp
+++ b/src/weights/term.cpp
@@ -4,26 +4,28 @@
 
 namespace camphorrail::weights {
 
-term begin_term(std::int64_t fence, std::int64_t lease, const last_order_issuer& before,
-                base::instant asked, base::instant won, const term_rules& rules) {
-    term begun;
-    begun.fencing_token = fence;
-    begun.lease_id = lease;
-    begun.valid_from = won;
-    if (before.is_other_process) {
-        const base::instant ended = before.ended_at.value_or(won);
-        begun.valid_from = std::max(won, ended + rules.handover_gap);
+term begin_term(std::int64_t fencing_token, std::int64_t lease_id,
+                const last_order_issuer& previous, base::instant requested_at,
+                base::instant elected_at, const term_rules& rules) {
+    term started;
+    started.fencing_token = fencing_token;
+    started.lease_id = lease_id;
+    started.valid_from = elected_at;
+    if (previous.is_other_process) {
+        const base::instant ended = previous.ended_at.value_or(elected_at);
+        started.valid_from = std::max(elected_at, ended + rules.handover_gap);
     }
-    begun.valid_until = asked + rules.lease_duration - rules.margin;
-    return begun;
+    started.valid_until = requested_at + rules.lease_duration - rules.margin;
+    return started;
 }
 
-void renew_term(term& held, base::instant asked, const term_rules& rules) {
-    held.valid_until = std::max(held.valid_until, asked + rules.lease_duration - rules.margin);
+void renew_term(term& current, base::instant requested_at, const term_rules& rules) {
+    current.valid_until =
+        std::max(current.valid_until, requested_at + rules.lease_duration - rules.margin);
 }
 
-bool may_issue_orders(const term& held, base::instant now) {
-    return held.fencing_token > 0 && now >= held.valid_from && now < held.valid_until;
+bool may_issue_orders(const term& current, base::instant now) {
+    return current.fencing_token > 0 && now >= current.valid_from && now < current.valid_until;
 }
 
 } // namespace camphorrail::weights
--- a/src/weights/term.h
+++ b/src/weights/term.h
@@ -42,13 +42,14 @@
 // response was received. The term waits for the last process that issued orders instead of the last
 // leader: in a rolling restart, each leader is stopped before its wait is over, and no order would
 // ever be issued.
-term begin_term(std::int64_t fence, std::int64_t lease, const last_order_issuer& before,
-                base::instant asked, base::instant won, const term_rules& rules);
+term begin_term(std::int64_t fencing_token, std::int64_t lease_id,
+                const last_order_issuer& previous, base::instant requested_at,
+                base::instant elected_at, const term_rules& rules);
 
 // Extends the term after the lease was renewed by a request sent at `requested_at`.
-void renew_term(term& held, base::instant asked, const term_rules& rules);
+void renew_term(term& current, base::instant requested_at, const term_rules& rules);
 
 // Whether an order may be issued now.
-bool may_issue_orders(const term& held, base::instant now);
+bool may_issue_orders(const term& current, base::instant now);
 
 } // namespace camphorrail::weights
