--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -64,28 +64,29 @@
 }
 
 void record_prompt_read(entry_context& context, const kvcache::prompt_prefill& read) {
-    const auto* one = fleet::find_instance(context.state.fleet, read.engine);
-    if (one == nullptr) {
+    const auto* member = fleet::find_instance(context.state.fleet, read.engine);
+    if (member == nullptr) {
         return;
     }
     const base::instant now = context.now();
     kvcache::record_prefill(context.state.cache, read,
                             engine_capacity_tokens(context.state, read.engine), now);
     if (read.first_byte.ms > 0.0) {
-        latency::record_first_byte(context.state.latency[one->listed.pool], read.first_byte, now);
+        latency::record_first_byte(context.state.latency[member->listed.pool], read.first_byte,
+                                   now);
     }
 }
 
 void record_weights(entry_context& context, const base::upstream_instance& upstream,
                     const base::model_id& model, std::int64_t version) {
-    auto* one = fleet::find_instance(context.state.fleet, upstream);
-    if (one == nullptr) {
+    auto* member = fleet::find_instance(context.state.fleet, upstream);
+    if (member == nullptr) {
         return;
     }
-    for (auto& [name, held] : one->listed.models) {
+    for (auto& [name, held] : member->listed.models) {
         if (name == model && held < version) {
             held = version;
-            one->busy_until = context.now();
+            member->busy_until = context.now();
             kvcache::forget_engine(context.state.cache, upstream.id);
             context.log.line(adapters::importance::keep, "upstream_weights")
                 .text("upstream", upstream.id.value)
@@ -122,22 +123,23 @@
 namespace {
 
 // Gives how long the upstream is ejected for, if this ejected it.
-template <class Note>
-std::optional<base::micros> note(entry_context& context, const base::upstream_instance& upstream,
-                                 const char* why, Note note_it) {
-    auto* one = fleet::find_instance(context.state.fleet, upstream);
-    if (one == nullptr) {
+template <class Update>
+std::optional<base::micros> update_health(entry_context& context,
+                                          const base::upstream_instance& upstream, const char* why,
+                                          Update apply) {
+    auto* member = fleet::find_instance(context.state.fleet, upstream);
+    if (member == nullptr) {
         return std::nullopt;
     }
     const base::instant now = context.now();
-    const bool was_usable = membership::is_usable(one->health, now);
-    note_it(one->health, now, fleet_rules_of(context.settings).health);
-    const bool ejected = was_usable && !membership::is_usable(one->health, now);
+    const bool was_usable = membership::is_usable(member->health, now);
+    apply(member->health, now, fleet_rules_of(context.settings).health);
+    const bool ejected = was_usable && !membership::is_usable(member->health, now);
     if (!ejected) {
         return std::nullopt;
     }
     context.connections.close_idle(upstream.id);
-    const base::micros span = one->health.ejected_until - now;
+    const base::micros span = member->health.ejected_until - now;
     context.log.line(adapters::importance::keep, "upstream_ejected")
         .text("upstream", upstream.id.value)
         .text("why", why)
@@ -150,7 +152,7 @@
 
 void record_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
                              const char* why) {
-    const auto span = note(context, upstream, why, membership::record_failure);
+    const auto span = update_health(context, upstream, why, membership::record_failure);
     if (span) {
         context.broadcast_suspicion(upstream, *span, why);
     }
@@ -159,12 +161,12 @@
 void record_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
     // Others are not told: some services fail one call in seven, and of many entries one always
     // sees several in a row.
-    note(context, upstream, "error_answers", membership::record_error);
+    update_health(context, upstream, "error_answers", membership::record_error);
 }
 
 void record_upstream_success(entry_context& context, const base::upstream_instance& upstream) {
-    if (auto* one = fleet::find_instance(context.state.fleet, upstream)) {
-        membership::record_success(one->health, fleet_rules_of(context.settings).health);
+    if (auto* member = fleet::find_instance(context.state.fleet, upstream)) {
+        membership::record_success(member->health, fleet_rules_of(context.settings).health);
     }
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -3,7 +3,7 @@
 #include "adapters/sockets.h"
 #include "kvcache/lanes.h"
 #include "process/operators_port.h"
-#include "proxy/weights_news.h"
+#include "proxy/target_weights.h"
 
 #include <algorithm>
 #include <cmath>
@@ -43,48 +43,50 @@
       context{
           this->loop,
           this->settings,
-          this->platform.words,
+          this->platform.codec,
           this->state,
           this->connections,
           this->log,
           this->metrics,
           adapters::boot_now,
           [this](const base::upstream_instance& upstream, base::micros span, const char* why) {
-              this->others.tell(peering::suspicion{
+              this->peer_entries.broadcast(peering::suspicion{
                   upstream, std::chrono::duration_cast<base::milliseconds>(span), why});
           },
           [this](const base::upstream_instance& upstream, base::micros span) {
-              this->others.tell(peering::suspicion{
+              this->peer_entries.broadcast(peering::suspicion{
                   upstream, std::chrono::duration_cast<base::milliseconds>(span), "loading", true});
           },
           [this](const base::upstream_instance& upstream, const base::model_id& model,
                  std::int64_t version) {
               record_weights(this->context, upstream, model, version);
-              this->others.tell(peering::loaded_weights{upstream, model, version});
+              this->peer_entries.broadcast(peering::loaded_weights{upstream, model, version});
           },
           [this](const base::upstream_instance& upstream) {
-              this->others.tell(peering::upstream_draining{upstream});
+              this->peer_entries.broadcast(peering::upstream_draining{upstream});
           },
-          [this](const broken_attempt& broken) { this->crashes.note_broken(broken); }},
+          [this](const broken_attempt& broken) { this->crashes.record_broken_attempt(broken); }},
       platform_calls(std::make_shared<adapters::platform_budget>()),
       store_calls(adapters::with_budget(this->platform.make_store(this->loop.base(),
                                                                   this->settings.platform.endpoint,
                                                                   this->settings.platform.timeout),
                                         this->loop, this->platform_calls,
                                         [this](adapters::platform_call kind, base::micros wait) {
-                                            this->note_held_back(kind, wait);
+                                            this->log_deferred_call(kind, wait);
                                         })),
-      store(this->context, this->store_calls), news(this->context, this->store_calls),
-      leader(this->context, this->store_calls, [this] { return this->others.linked(); }),
-      loader(this->context,
-             {[this] { return this->leader.may_order(); }, [this] { return this->leader.name(); },
-              [this] { return this->leader.fence(); }}),
-      others(this->context, this->store_calls), crashes(this->context),
-      quarantined(this->context, this->store_calls, [this] { return this->leader.fence() != 0; }),
-      kv_stores(this->context, [this] { return this->others.linked(); }) {}
+      store(this->context, this->store_calls), updates(this->context, this->store_calls),
+      leader(this->context, this->store_calls,
+             [this] { return this->peer_entries.connected_entries(); }),
+      loader(this->context, {[this] { return this->leader.may_issue_commands(); },
+                             [this] { return this->leader.name(); },
+                             [this] { return this->leader.fencing_token(); }}),
+      peer_entries(this->context, this->store_calls), crashes(this->context),
+      quarantine_store(this->context, this->store_calls,
+                       [this] { return this->leader.fencing_token() != 0; }),
+      kv_stores(this->context, [this] { return this->peer_entries.connected_entries(); }) {}
 
 bool proxy::listen() {
-    this->callers = std::make_unique<frontend_server>(
+    this->frontend = std::make_unique<frontend_server>(
         this->loop.base(),
         frontend_callbacks{
             [this](const exchange_ptr& exchange) { this->on_request(exchange); },
@@ -104,23 +106,23 @@
             }});
     this->serve_operators_and_balancer();
     const std::pair<const char*, bool> listened[] = {
-        {"listen", this->callers->listen(this->settings.listen)},
+        {"listen", this->frontend->listen(this->settings.listen)},
         {"ready_listen", this->balancer->listen(this->settings.ready_listen)},
-        {"peer_listen", this->others.listen()},
+        {"peer_listen", this->peer_entries.listen()},
         {"operators_listen", this->operators->listen(this->settings.operators_listen)}};
-    for (const auto& [name, fine] : listened) {
-        if (!fine) {
+    for (const auto& [name, succeeded] : listened) {
+        if (!succeeded) {
             this->log.line(importance::keep, "cannot_listen").text("setting", name);
         }
     }
-    this->share_out_descriptors();
+    this->apply_descriptor_limits();
     return listened[0].second && listened[1].second;
 }
 
-void proxy::share_out_descriptors() {
+void proxy::apply_descriptor_limits() {
     const std::size_t limit = adapters::descriptor_limit();
     const auto shares = share_descriptors(limit);
-    this->callers->limit_connections(shares.clients);
+    this->frontend->limit_connections(shares.clients);
     this->connections.limit_idle(shares.idle_upstreams);
     this->log.line(importance::keep, "descriptors_shared")
         .number("limit", static_cast<std::int64_t>(limit))
@@ -129,15 +131,15 @@
         .number("reserve", static_cast<std::int64_t>(shares.reserve));
 }
 
-accept_status proxy::view_accepting() const {
-    return {this->callers->paused(), this->callers->pauses(), this->callers->open_connections(),
-            this->callers->max_connections()};
+accept_status proxy::current_accept_status() const {
+    return {this->frontend->paused(), this->frontend->pauses(), this->frontend->open_connections(),
+            this->frontend->max_connections()};
 }
 
 void proxy::serve_operators_and_balancer() {
     this->balancer = std::make_unique<adapters::http_server>(
-        this->loop.base(), adapters::http_limits{}, [this](const adapters::exchange_ptr& asked) {
-            asked->reply(this->ready() ? status_ok : status_unavailable, {}, "");
+        this->loop.base(), adapters::http_limits{}, [this](const adapters::exchange_ptr& exchange) {
+            exchange->reply(this->ready() ? status_ok : status_unavailable, {}, "");
         });
     this->operators = process::serve_operators(this->loop, this->metrics, this->timeline,
                                                {[this] { return this->ready(); },
@@ -169,86 +171,89 @@
     return 0;
 }
 
-void proxy::note_held_back(adapters::platform_call kind, base::micros wait) {
+void proxy::log_deferred_call(adapters::platform_call kind, base::micros wait) {
     this->log.line(importance::keep, "store_call_held_back")
         .text("call", std::string(adapters::name_of(kind)))
         .span("for_ms", wait);
 }
 
 void proxy::connect_parts() {
-    this->store.linked_entries = [this] { return this->others.linked(); };
-    this->store.tell = [this](const peering::store_changes& message) {
-        this->others.tell(message);
+    this->store.connected_entries = [this] { return this->peer_entries.connected_entries(); };
+    this->store.broadcast = [this](const peering::store_changes& message) {
+        this->peer_entries.broadcast(message);
     };
-    this->others.store_told = [this](const peering::store_changes& told) {
-        return this->news.take(told) != store_news::outcome::missed;
+    this->peer_entries.store_changes_received = [this](const peering::store_changes& message) {
+        return this->updates.receive(message) != store_updates::outcome::gap;
     };
-    this->others.awaits_store = [this] { return this->news.reading(); };
-    this->news.unreadable = [this] { this->others.ask_soon(); };
-    this->others.proves_store = [this] { return this->store.proving(); };
-    const auto take_news = [this](const char* told_by) {
-        return [this, told_by](const std::set<std::string>& keys) {
-            this->on_store_change(keys, told_by);
+    this->peer_entries.is_reading_store = [this] { return this->updates.is_reading(); };
+    this->updates.read_failed = [this] { this->peer_entries.query_soon(); };
+    this->peer_entries.verifies_store = [this] { return this->store.is_verifier(); };
+    const auto apply_changes_from = [this](const char* source) {
+        return [this, source](const std::set<std::string>& keys) {
+            this->on_store_change(keys, source);
         };
     };
-    this->store.changed = take_news("store");
-    this->news.changed = take_news("entry");
-    this->others.store_changed = take_news("entry_asked");
-    this->others.weights_changed = [this](const peering::loaded_weights& told) {
-        record_weights(this->context, told.upstream, told.model, told.version);
+    this->store.changed = apply_changes_from("store");
+    this->updates.changed = apply_changes_from("entry");
+    this->peer_entries.store_changed = apply_changes_from("entry_asked");
+    this->peer_entries.weights_changed = [this](const peering::loaded_weights& message) {
+        record_weights(this->context, message.upstream, message.model, message.version);
     };
-    this->others.named_weights_told = [this](const base::entry_id& from,
-                                             const std::vector<peering::target_weights>& told,
-                                             base::instant asked_at) {
-        if (take_told_weights(this->context, from, told, asked_at)) {
-            this->renew_begin_deadlines();
-        }
-    };
-    this->others.kept_told = [this](const base::entry_id& from,
-                                    const peering::kv_store_contents& told) {
-        this->kv_stores.take(from, told);
-    };
-    this->others.greeting = [this] { return this->greeting(); };
+    this->peer_entries.target_weights_received =
+        [this](const base::entry_id& from, const std::vector<peering::target_weights>& message,
+               base::instant queried_at) {
+            if (apply_reported_targets(this->context, from, message, queried_at)) {
+                this->renew_begin_deadlines();
+            }
+        };
+    this->peer_entries.kv_store_contents_received =
+        [this](const base::entry_id& from, const peering::kv_store_contents& message) {
+            this->kv_stores.receive(from, message);
+        };
+    this->peer_entries.initial_messages = [this] { return this->initial_messages(); };
     this->connect_quarantine();
-    this->kv_stores.tell = [this](const peering::kv_store_contents& message) {
-        this->others.tell(message);
+    this->kv_stores.broadcast = [this](const peering::kv_store_contents& message) {
+        this->peer_entries.broadcast(message);
     };
-    this->others.count_changed = [this] { this->set_retry_budgets(); };
+    this->peer_entries.count_changed = [this] { this->set_retry_budgets(); };
 }
 
-std::vector<peering::message> proxy::greeting() const {
-    auto all = this->kv_stores.whole_views();
-    for (auto& each : this->crashes.greeting()) {
+std::vector<peering::message> proxy::initial_messages() const {
+    auto all = this->kv_stores.complete_views();
+    for (auto& each : this->crashes.initial_messages()) {
         all.push_back(std::move(each));
     }
-    for (const auto& each : leaving_to_tell(this->context)) {
+    for (const auto& each : collect_drain_reports(this->context)) {
         all.emplace_back(each);
     }
     return all;
 }
 
 void proxy::connect_quarantine() {
-    this->crashes.tell = [this](const peering::message& message) { this->others.tell(message); };
-    this->crashes.held_back = [this](const quarantine::quarantined_request& held,
-                                     bool decided_here) { this->note_hold(held, decided_here); };
-    this->others.crash_told = [this](const base::entry_id& from, const peering::crash_report& told,
-                                     base::instant written) {
-        this->crashes.take(from, told, written);
+    this->crashes.broadcast = [this](const peering::message& message) {
+        this->peer_entries.broadcast(message);
     };
-    this->others.hold_told = [this](const base::entry_id& from,
-                                    const peering::quarantine_notice& told, base::instant written) {
-        this->crashes.take(from, told, written);
+    this->crashes.quarantine_started = [this](const quarantine::quarantined_request& quarantined,
+                                              bool decided_here) {
+        this->on_quarantine_started(quarantined, decided_here);
     };
+    this->peer_entries.crash_report_received =
+        [this](const base::entry_id& from, const peering::crash_report& message,
+               base::instant written) { this->crashes.receive(from, message, written); };
+    this->peer_entries.quarantine_notice_received =
+        [this](const base::entry_id& from, const peering::quarantine_notice& message,
+               base::instant written) { this->crashes.receive(from, message, written); };
 }
 
-void proxy::note_hold(const quarantine::quarantined_request& held, bool decided_here) {
+void proxy::on_quarantine_started(const quarantine::quarantined_request& quarantined,
+                                  bool decided_here) {
     if (decided_here) {
-        this->quarantined.keep(held);
+        this->quarantine_store.add(quarantined);
     }
     // Those that are called off end, and leave the list.
-    const auto under_way = this->flows;
-    for (const auto& [number, flow] : under_way) {
-        flow->cancel_if_quarantined(held);
+    const auto in_flight = this->flows;
+    for (const auto& [number, flow] : in_flight) {
+        flow->cancel_if_quarantined(quarantined);
     }
 }
 
@@ -267,12 +272,12 @@
     this->flows.emplace(number, flow);
     flow->on_end = [this, number] {
         this->flows.erase(number);
-        this->exit_when_done();
+        this->continue_shutdown();
     };
     flow->begin();
 }
 
-void proxy::note_readiness() {
+void proxy::log_readiness() {
     const bool now_ready = this->ready();
     if (now_ready != this->was_ready) {
         this->was_ready = now_ready;
@@ -286,14 +291,15 @@
 }
 
 void proxy::tick() {
-    this->note_readiness();
-    log_accept_pauses(this->accepting, this->view_accepting(), this->context.now(), this->log);
-    this->exit_when_done();
+    this->log_readiness();
+    log_accept_pauses(this->accepting, this->current_accept_status(), this->context.now(),
+                      this->log);
+    this->continue_shutdown();
     this->connections.close_expired();
     this->crashes.tick();
-    this->quarantined.tick();
-    this->others.tick();
-    this->follow_entries();
+    this->quarantine_store.tick();
+    this->peer_entries.tick();
+    this->update_quota_entries();
     this->store.tick();
     this->kv_stores.tick();
     this->assign_lanes();
@@ -328,12 +334,12 @@
     this->settings_text = text;
     auto parsed = settings::parse_settings(text);
     const auto* fresh = std::get_if<settings::proxy_settings>(&parsed.settings);
-    const bool fine = parsed.faults.empty() && fresh != nullptr;
+    const bool succeeded = parsed.faults.empty() && fresh != nullptr;
     this->log.line(importance::keep, "reload")
         .text("why", why)
-        .flag("taken", fine)
+        .flag("taken", succeeded)
         .text("fault", parsed.faults.empty() ? "" : parsed.faults.front().text);
-    if (!fine) {
+    if (!succeeded) {
         return;
     }
     // Addresses stay as they are: changing them would cut requests under way.
@@ -346,14 +352,14 @@
         return;
     }
     this->state.stopping = true;
-    this->ending.started_at = this->context.now();
+    this->shutdown.started_at = this->context.now();
     this->log.line(importance::keep, "stop")
         .number("flows", static_cast<std::int64_t>(this->flows.size()));
-    this->note_readiness();
-    this->callers->close_after_responses();
-    this->others.resign();
+    this->log_readiness();
+    this->frontend->close_after_responses();
+    this->peer_entries.deregister();
     const shutdown_rules rules;
-    this->loop.after(rules.balancer_detection_time, [this] { this->exit_when_done(); });
+    this->loop.after(rules.balancer_detection_time, [this] { this->continue_shutdown(); });
     this->loop.after(this->settings.bounds.grace - exit_margin - rules.resign_time,
                      [this] { this->leader.resign(); });
     this->loop.after(this->settings.bounds.grace - exit_margin, [this] {
@@ -365,21 +371,21 @@
     });
 }
 
-void proxy::exit_when_done() {
+void proxy::continue_shutdown() {
     const shutdown_rules rules;
     while (true) {
         const auto step = advance_shutdown(
-            this->ending, {this->context.now(), this->flows.size(), this->callers->unsent()},
+            this->shutdown, {this->context.now(), this->flows.size(), this->frontend->unsent()},
             rules);
         switch (step) {
         case shutdown_step::stop_accepting:
-            this->callers->stop();
+            this->frontend->stop();
             break;
         case shutdown_step::resign:
             // An entry that leads goes on doing so until now: in a rolling restart the next one is
             // stopped soon too.
             this->leader.resign();
-            this->loop.after(rules.resign_time, [this] { this->exit_when_done(); });
+            this->loop.after(rules.resign_time, [this] { this->continue_shutdown(); });
             break;
         case shutdown_step::exit:
             this->loop.stop();
