--- a/src/kvcache/lanes.cpp
+++ b/src/kvcache/lanes.cpp
@@ -10,66 +10,71 @@
 
 namespace {
 
-// A pool's engines in the order in which they join the lane for short prompts: by turns of the
-// availability zones, so that none is left with too few for either kind, and within a zone by a
-// hash of the name, so that few engines change lanes when one comes or goes.
+// Orders a pool's engines by when they join the short lane. Alternates between availability zones,
+// so that each zone keeps engines for both kinds of prompts; within a zone, orders by the hash of
+// the id, so that few engines change lanes when an engine joins or leaves.
 std::vector<fleet::member*> lane_order(const std::vector<fleet::member*>& members) {
     std::map<base::availability_zone, std::vector<fleet::member*>> zones;
     for (auto* one : members) {
         zones[one->listed.zone].push_back(one);
     }
-    std::vector<std::tuple<std::size_t, std::uint64_t, fleet::member*>> turns;
-    for (auto& [zone, of_zone] : zones) {
-        std::sort(of_zone.begin(), of_zone.end(), [](const auto* left, const auto* right) {
-            return left->id_hash < right->id_hash;
-        });
-        for (std::size_t turn = 0; turn < of_zone.size(); ++turn) {
-            turns.emplace_back(turn, of_zone[turn]->id_hash, of_zone[turn]);
+    std::vector<std::tuple<std::size_t, std::uint64_t, fleet::member*>> positions;
+    for (auto& [zone, zone_members] : zones) {
+        std::sort(
+            zone_members.begin(), zone_members.end(),
+            [](const auto* left, const auto* right) { return left->id_hash < right->id_hash; });
+        for (std::size_t position = 0; position < zone_members.size(); ++position) {
+            positions.emplace_back(position, zone_members[position]->id_hash,
+                                   zone_members[position]);
         }
     }
-    std::sort(turns.begin(), turns.end());
+    std::sort(positions.begin(), positions.end());
     std::vector<fleet::member*> order;
-    order.reserve(turns.size());
-    for (const auto& each : turns) {
+    order.reserve(positions.size());
+    for (const auto& each : positions) {
         order.push_back(std::get<fleet::member*>(each));
     }
     return order;
 }
 
-// How many engines' worth of slots the short prompts under way at a pool's engines ask for.
-double wanted_engines(const std::vector<fleet::member*>& members, base::instant now,
-                      const lane_rules& rules) {
-    double wanted = 0.0;
+// Number of engines needed for the requests with short prompts that are in flight in a pool.
+double required_engines(const std::vector<fleet::member*>& members, base::instant now,
+                        const lane_rules& rules) {
+    double demand = 0.0;
     for (const auto* one : members) {
         const auto slots = static_cast<double>(std::max<std::int64_t>(one->listed.slots, 1));
-        const auto taken = static_cast<double>(fleet::total_work(*one, now).short_prompts);
-        wanted += taken / (rules.taken_slots * slots);
+        const auto in_flight = static_cast<double>(fleet::total_work(*one, now).short_prompts);
+        demand += in_flight / (rules.target_slot_utilization * slots);
     }
-    return wanted;
+    return demand;
 }
 
-void note_wanted(lane_size& size, double wanted, double first, base::instant now,
-                 const lane_rules& rules) {
-    const auto passed = static_cast<double>(std::max(now - size.at, base::micros(0)).count());
-    size.at = now;
-    // A pool without traffic says nothing of the traffic to come.
-    size.seen = size.seen || wanted > 0.0;
-    if (!size.seen) {
-        size.wanted = first;
-    } else if (wanted > 0.0) {
-        const auto averaged = wanted > size.wanted ? rules.averaged_up : rules.averaged_down;
-        const double newest = 1.0 - std::exp(-passed / static_cast<double>(averaged.count()));
-        size.wanted += newest * (wanted - size.wanted);
+void update_demand(lane_size& size, double demand, double initial_demand, base::instant now,
+                   const lane_rules& rules) {
+    const auto elapsed =
+        static_cast<double>(std::max(now - size.updated_at, base::micros(0)).count());
+    size.updated_at = now;
+    // An idle pool does not allow predictions about future traffic.
+    size.has_seen_traffic = size.has_seen_traffic || demand > 0.0;
+    if (!size.has_seen_traffic) {
+        size.demand = initial_demand;
+    } else if (demand > 0.0) {
+        const auto time_constant =
+            demand > size.demand ? rules.smoothing_time_up : rules.smoothing_time_down;
+        const double newest_weight =
+            1.0 - std::exp(-elapsed / static_cast<double>(time_constant.count()));
+        size.demand += newest_weight * (demand - size.demand);
     }
 }
 
-std::size_t kept_engines(const lane_size& size, std::size_t members, const lane_rules& rules) {
-    const auto all = static_cast<double>(members);
-    const double most = std::max(1.0, std::floor(rules.most_share * all));
-    const auto kept = static_cast<double>(size.kept);
-    const double least_change = std::max(rules.hysteresis, rules.hysteresis_share * all);
-    const bool holds = size.kept > 0 && std::abs(size.wanted - kept) < least_change;
-    return static_cast<std::size_t>(std::clamp(holds ? kept : std::round(size.wanted), 1.0, most));
+std::size_t reserved_engines(const lane_size& size, std::size_t members, const lane_rules& rules) {
+    const auto member_count = static_cast<double>(members);
+    const double max_reserved = std::max(1.0, std::floor(rules.max_share * member_count));
+    const auto reserved = static_cast<double>(size.reserved);
+    const double min_change = std::max(rules.hysteresis, rules.hysteresis_share * member_count);
+    const bool keeps_size = size.reserved > 0 && std::abs(size.demand - reserved) < min_change;
+    return static_cast<std::size_t>(
+        std::clamp(keeps_size ? reserved : std::round(size.demand), 1.0, max_reserved));
 }
 
 } // namespace
@@ -84,26 +89,26 @@
         }
     }
     for (auto& [id, members] : pools) {
-        if (members.size() < rules.smallest_pool) {
+        if (members.size() < rules.min_pool_size) {
             continue;
         }
         auto& size = sizes[id];
-        const double first = rules.first_share * static_cast<double>(members.size());
-        note_wanted(size, wanted_engines(members, now, rules), first, now, rules);
-        size.kept = kept_engines(size, members.size(), rules);
+        const double initial_demand = rules.initial_share * static_cast<double>(members.size());
+        update_demand(size, required_engines(members, now, rules), initial_demand, now, rules);
+        size.reserved = reserved_engines(size, members.size(), rules);
         const auto order = lane_order(members);
-        for (std::size_t at = 0; at < size.kept; ++at) {
-            order[at]->short_lane = true;
+        for (std::size_t index = 0; index < size.reserved; ++index) {
+            order[index]->short_lane = true;
         }
     }
 }
 
-bool is_long(const prompt_chain& chain) {
-    return chain.all_tokens() >= lane_rules{}.long_prompt;
+bool is_long_prompt(const prompt_chain& chain) {
+    return chain.total_tokens() >= lane_rules{}.long_prompt_tokens;
 }
 
 bool in_lane(const fleet::member& one, const prompt_chain& chain) {
-    return one.short_lane != is_long(chain);
+    return one.short_lane != is_long_prompt(chain);
 }
 
 } // namespace camphorrail::kvcache
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -119,9 +119,9 @@
     }
     auto& stored = this->context.state.stored_prompts[address];
     if (listing) {
-        kvcache::take_listing(stored, contents.parts, now);
+        kvcache::apply_listing(stored, contents.parts, now);
     } else {
-        kvcache::take_changes(stored, contents.parts, now);
+        kvcache::apply_changes(stored, contents.parts, now);
     }
     this->broadcast(contents);
 }
@@ -138,7 +138,7 @@
     store.next_request_at = now + down_pause;
     auto& stored = this->context.state.stored_prompts[address];
     const bool went_down = !stored.down;
-    kvcache::note_down(stored, now);
+    kvcache::mark_down(stored, now);
     if (went_down) {
         this->log_reachability(address, false);
         this->broadcast({address, false, true, {}});
@@ -167,11 +167,11 @@
             .text("entry", from.value);
     }
     if (contents.unreachable) {
-        kvcache::note_down(stored, now);
+        kvcache::mark_down(stored, now);
     } else if (contents.complete) {
-        kvcache::take_listing(stored, contents.parts, now);
+        kvcache::apply_listing(stored, contents.parts, now);
     } else {
-        kvcache::take_changes(stored, contents.parts, now);
+        kvcache::apply_changes(stored, contents.parts, now);
     }
 }
 
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -48,13 +48,13 @@
 
 weights::term_rules leadership::rules() const {
     weights::term_rules rules;
-    rules.lease = base::seconds(lease_seconds);
-    rules.apart = this->context.settings.bounds.lease;
+    rules.lease_duration = base::seconds(lease_seconds);
+    rules.handover_gap = this->context.settings.bounds.lease;
     return rules;
 }
 
 bool leadership::may_issue_commands() {
-    if (!this->term || !weights::may_order(*this->term, this->context.now())) {
+    if (!this->term || !weights::may_issue_orders(*this->term, this->context.now())) {
         return false;
     }
     if (!this->orderer_recorded) {
@@ -71,12 +71,12 @@
     }
     this->recording_orderer = true;
     ports::transaction change;
-    change.preconditions = {{this->leader_key(), this->term->fence}};
+    change.preconditions = {{this->leader_key(), this->term->fencing_token}};
     change.writes = {{this->orderer_key(), this->name(), false, 0}};
-    const std::int64_t fence = this->term->fence;
+    const std::int64_t fence = this->term->fencing_token;
     this->platform.commit(change, [this, fence](base::result<ports::commit_result> done) {
         this->recording_orderer = false;
-        if (!this->term || this->term->fence != fence || !done.has_value()) {
+        if (!this->term || this->term->fencing_token != fence || !done.has_value()) {
             return;
         }
         if (done.value().applied) {
@@ -101,24 +101,24 @@
     this->last_seen_holder = holder;
 }
 
-weights::last_orderer leadership::last_orderer() const {
+weights::last_order_issuer leadership::last_orderer() const {
     const auto& items = this->context.state.store.items;
     const auto last = items.find(this->orderer_key());
-    weights::last_orderer before;
+    weights::last_order_issuer before;
     if (last == items.end() || last->second.value == this->name()) {
         return before;
     }
-    before.other = true;
+    before.is_other_process = true;
     const auto& ended = this->orderer_ended;
     if (ended && ended->orderer_revision == last->second.mod_revision) {
-        before.seen_ended = ended->at;
+        before.ended_at = ended->at;
     }
     return before;
 }
 
 void leadership::tick() {
     const base::instant now = this->context.now();
-    if (this->term && now >= this->term->until) {
+    if (this->term && now >= this->term->valid_until) {
         this->lose_leadership("lease_ran_out");
     }
     if (this->call_pending) {
@@ -191,9 +191,9 @@
             this->orderer_recorded = false;
             this->next_renewal = now + renewal_period;
             this->context.log.line(importance::keep, "leader")
-                .number("fence", this->term->fence)
-                .flag("other_before", before.other)
-                .span("orders_after_ms", this->term->from - now);
+                .number("fence", this->term->fencing_token)
+                .flag("other_before", before.is_other_process)
+                .span("orders_after_ms", this->term->valid_from - now);
         });
 }
 
@@ -201,13 +201,13 @@
     const base::instant requested_at = this->context.now();
     this->next_renewal = requested_at + renewal_period;
     this->call_pending = true;
-    this->platform.renew_lease(this->term->lease, [this, requested_at](base::result<bool> kept) {
+    this->platform.renew_lease(this->term->lease_id, [this, requested_at](base::result<bool> kept) {
         this->call_pending = false;
         if (!this->term) {
             return;
         }
         if (kept.has_value() && kept.value()) {
-            weights::renew(*this->term, requested_at, this->rules());
+            weights::renew_term(*this->term, requested_at, this->rules());
         } else if (kept.has_value()) {
             this->lose_leadership("lease_ended");
         }
@@ -217,7 +217,7 @@
 void leadership::lose_leadership(const char* why) {
     this->context.log.line(importance::keep, "leader_no_more")
         .text("why", why)
-        .number("fence", this->term->fence);
+        .number("fence", this->term->fencing_token);
     this->term.reset();
     this->orderer_recorded = false;
 }
@@ -227,7 +227,7 @@
         return;
     }
     ports::transaction change;
-    change.preconditions = {{this->leader_key(), this->term->fence}};
+    change.preconditions = {{this->leader_key(), this->term->fencing_token}};
     this->lose_leadership("stopping");
     change.writes = {{this->leader_key(), "", true, 0}};
     this->platform.commit(change, [this](base::result<ports::commit_result> done) {
--- a/src/proxy/leadership.h
+++ b/src/proxy/leadership.h
@@ -27,7 +27,9 @@
     [[nodiscard]] bool may_issue_commands();
     // Notes when another entry's term is over; to be called after each change of the mirror.
     void on_store_change();
-    [[nodiscard]] std::int64_t fencing_token() const { return this->term ? this->term->fence : 0; }
+    [[nodiscard]] std::int64_t fencing_token() const {
+        return this->term ? this->term->fencing_token : 0;
+    }
     // What upstreams know this holder by.
     [[nodiscard]] std::string name() const;
 
@@ -41,7 +43,7 @@
     [[nodiscard]] std::string leader_key() const;
     [[nodiscard]] std::string orderer_key() const;
     void record_orderer();
-    [[nodiscard]] weights::last_orderer last_orderer() const;
+    [[nodiscard]] weights::last_order_issuer last_orderer() const;
     [[nodiscard]] weights::term_rules rules() const;
 
     entry_context& context;
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -155,10 +155,10 @@
         load.from = {"zz"};
         load.report_interval = base::milliseconds(60000);
         load.items = {{of, {2, 900, 1900, 0}, base::milliseconds(0)}};
-        kvcache::prompt_read read;
+        kvcache::prompt_prefill read;
         read.levels = {{prompt, 500}};
         read.weights = weights;
-        read.by = of;
+        read.engine = of;
         load.reads = {read};
         peer.send(peering::load_report{{load}});
         peer.send(peering::kv_store_contents{std::to_string(incarnation)});
@@ -168,7 +168,8 @@
         last_reported_store = contents.store;
     };
     const auto readings = [&] {
-        return kvcache::readings_of(peer.world.state.cache, kvcache::key_at(prompt, weights))
+        return kvcache::readers_of(peer.world.state.cache,
+                                   kvcache::key_for_weights(prompt, weights))
             .size();
     };
     report(100);
--- a/src/proxy/proxy_store_updates.cpp
+++ b/src/proxy/proxy_store_updates.cpp
@@ -165,11 +165,11 @@
         discard_previous_incarnation(this->context, fleet::instance_of(member));
     }
     for (const auto& id : change.weights_changed) {
-        kvcache::forget_reader(this->state.cache, id);
+        kvcache::forget_engine(this->state.cache, id);
     }
     for (const auto& id : change.removed) {
         this->connections.close_idle(id);
-        kvcache::forget_reader(this->state.cache, id);
+        kvcache::forget_engine(this->state.cache, id);
     }
 }
 
--- a/src/proxy/request_responses.cpp
+++ b/src/proxy/request_responses.cpp
@@ -149,7 +149,7 @@
     const std::chrono::duration<double, std::milli> elapsed =
         this->context.now() - this->current->sent_at;
     const auto prefill_tokens = static_cast<double>(choice.prefill_tokens);
-    const auto all_tokens = static_cast<double>(choice.chain.all_tokens());
+    const auto all_tokens = static_cast<double>(choice.chain.total_tokens());
     return {{prefill_tokens, static_cast<double>(choice.queued_tokens),
              latency::attention_pairs(prefill_tokens, all_tokens)},
             std::max(0.0, elapsed.count() - choice.fetch_ms)};
@@ -160,18 +160,18 @@
     const auto& choice = this->current->choice;
     const auto& chain = choice.chain;
     const bool is_same_instance = this->current_member() != nullptr;
-    if (!is_same_instance || chain.shared_tokens() < kvcache::least_tracked_tokens) {
+    if (!is_same_instance || chain.shared_tokens() < kvcache::min_tracked_tokens) {
         return;
     }
-    kvcache::prompt_read read;
+    kvcache::prompt_prefill read;
     for (const auto& level : chain.levels) {
         read.levels.push_back({level.key, level.part_tokens});
     }
-    read.own_tokens = chain.own_tokens;
+    read.unshared_tokens = chain.unshared_tokens;
     read.weights = choice.weights;
-    read.by = instance_of(choice);
+    read.engine = instance_of(choice);
     read.saved = !choice.save_to.empty();
-    read.shown = this->first_byte_sample();
+    read.first_byte = this->first_byte_sample();
     proxy::record_prompt_read(this->context, read);
     this->context.state.unreported_reads.push_back(std::move(read));
 }
--- a/src/proxy/upstream_choice.cpp
+++ b/src/proxy/upstream_choice.cpp
@@ -49,10 +49,10 @@
     for (const auto& store : config.kv_stores) {
         double tokens = 0.0;
         if (placement.fetch_from == store.address && placement.fetch_ms > 0.0) {
-            tokens += static_cast<double>(chain.all_tokens() - placement.to_read);
+            tokens += static_cast<double>(chain.total_tokens() - placement.prefill_tokens);
         }
         if (placement.save_to == store.address) {
-            tokens += static_cast<double>(chain.all_tokens());
+            tokens += static_cast<double>(chain.total_tokens());
         }
         if (tokens > 0.0) {
             found.emplace_back(store.address, kvcache::transfer_ms(pool, store, tokens));
@@ -178,7 +178,7 @@
     }
     const base::instant now = context.now();
     const auto rules = fleet_rules_of(context.settings);
-    const kvcache::prompt_space space{criteria.prompt->model, criteria.isolated_team};
+    const kvcache::prompt_scope space{criteria.prompt->model, criteria.isolated_team};
     auto chain = kvcache::make_chain(space, criteria.prompt->prompt_parts);
     const auto members = pool_members(context.state.fleet, criteria.pool);
     auto placement =
@@ -199,9 +199,9 @@
     choice.cache_salt = std::move(placement.salt);
     choice.fetch_from = std::move(placement.fetch_from);
     choice.save_to = std::move(placement.save_to);
-    choice.prefill_tokens = placement.to_read;
+    choice.prefill_tokens = placement.prefill_tokens;
     choice.reason = placement.is_home ? "home" : "least_cost";
-    choice.queued_tokens = placement.unread_there;
+    choice.queued_tokens = placement.queued_prefill_tokens;
     choice.wait_ms = placement.wait_ms;
     choice.fetch_ms = placement.fetch_ms;
     choice.first_byte_ms = placement.first_byte_ms;
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -98,10 +98,10 @@
     const base::instant now = this->context.now();
     const auto since = outdated_since(history, candidate.version);
     candidate.in_flight = fleet::total_work(member, now).in_flight;
-    candidate.unused =
+    candidate.out_of_service =
         since < now && now - since >= max_outdated_weights_age(this->context.settings);
     candidate.lane = member.short_lane ? 1 : 0;
-    candidate.change_time = weights::drain_rules{}.usual + load_time;
+    candidate.load_duration = weights::drain_rules{}.min_duration + load_time;
     candidate.suspected = !membership::is_usable(member.health, now);
     if (const auto last = this->loaded_at.find(candidate.id); last != this->loaded_at.end()) {
         candidate.loaded_at = last->second;
@@ -150,7 +150,7 @@
     const std::int64_t version = newest_version(history);
     this->load_drained(model, version);
     weights::load_rules rules;
-    rules.within = std::max<base::micros>(
+    rules.rollout_duration = std::max<base::micros>(
         max_outdated_weights_age(this->context.settings) - first_load_delay, first_load_delay);
     for (const auto& id : weights::plan_loads(all, version, this->context.now(), rules)) {
         this->begin_load(id, model, version);
@@ -205,8 +205,8 @@
 void weights_loader::drain(fleet::member& member, std::int64_t version) {
     const base::instant now = this->context.now();
     this->pending_loads[member.listed.id] = {version, now, false, {}, now};
-    this->pause_requests(member,
-                         std::chrono::ceil<base::milliseconds>(weights::drain_rules{}.longest));
+    this->pause_requests(
+        member, std::chrono::ceil<base::milliseconds>(weights::drain_rules{}.max_duration));
 }
 
 void weights_loader::load_drained(const base::model_id& model, std::int64_t version) {
--- a/src/routing/popularity.cpp
+++ b/src/routing/popularity.cpp
@@ -7,41 +7,43 @@
 
 namespace {
 
-double faded(const popularity& seen, const popularity::count& item, base::instant now) {
+double decayed_weight(const popularity& traffic, const popularity::count& item, base::instant now) {
     const double age = static_cast<double>((now - item.at).count());
-    return item.weight * std::exp2(-age / static_cast<double>(seen.half_life.count()));
+    return item.weight * std::exp2(-age / static_cast<double>(traffic.half_life.count()));
 }
 
-void add(const popularity& seen, popularity::count& item, base::instant now) {
-    item.weight = faded(seen, item, now) + 1;
+void add(const popularity& traffic, popularity::count& item, base::instant now) {
+    item.weight = decayed_weight(traffic, item, now) + 1;
     item.at = now;
 }
 
-// Makes room by dropping what counts least by now.
-void drop_least(popularity& seen, base::instant now) {
-    const auto least = std::min_element(
-        seen.counts.begin(), seen.counts.end(), [&](const auto& left, const auto& right) {
-            return faded(seen, left.second, now) < faded(seen, right.second, now);
-        });
-    seen.counts.erase(least);
+// Drops the prefix with the lowest decayed weight.
+void evict_smallest(popularity& traffic, base::instant now) {
+    const auto least = std::min_element(traffic.counts.begin(), traffic.counts.end(),
+                                        [&](const auto& left, const auto& right) {
+                                            return decayed_weight(traffic, left.second, now) <
+                                                   decayed_weight(traffic, right.second, now);
+                                        });
+    traffic.counts.erase(least);
 }
 
 } // namespace
 
-void note_request(popularity& seen, std::uint64_t prefix, base::instant now) {
-    add(seen, seen.total, now);
-    add(seen, seen.counts[prefix], now);
-    if (seen.counts.size() > seen.capacity) {
-        drop_least(seen, now);
+void record_request(popularity& traffic, std::uint64_t prefix, base::instant now) {
+    add(traffic, traffic.total, now);
+    add(traffic, traffic.counts[prefix], now);
+    if (traffic.counts.size() > traffic.capacity) {
+        evict_smallest(traffic, now);
     }
 }
 
-double share_of(const popularity& seen, std::uint64_t prefix, base::instant now) {
-    const auto found = seen.counts.find(prefix);
-    if (found == seen.counts.end() || seen.total.weight <= 0) {
+double traffic_share(const popularity& traffic, std::uint64_t prefix, base::instant now) {
+    const auto found = traffic.counts.find(prefix);
+    if (found == traffic.counts.end() || traffic.total.weight <= 0) {
         return 0;
     }
-    return faded(seen, found->second, now) / faded(seen, seen.total, now);
+    return decayed_weight(traffic, found->second, now) /
+           decayed_weight(traffic, traffic.total, now);
 }
 
 } // namespace camphorrail::routing
