--- a/src/entries/duty_ranking.cpp
+++ b/src/entries/duty_ranking.cpp
@@ -31,12 +31,14 @@
         return std::nullopt;
     }
     const std::uint64_t key = base::stable_hash(duty);
-    auto line = others;
-    const auto wanted = line.begin() + static_cast<std::ptrdiff_t>((rank - 1) / max_duty_children);
-    std::nth_element(line.begin(), wanted, line.end(), [key](const auto& left, const auto& right) {
-        return score(left, key) > score(right, key);
-    });
-    return *wanted;
+    auto ranking = others;
+    const auto parent =
+        ranking.begin() + static_cast<std::ptrdiff_t>((rank - 1) / max_duty_children);
+    std::nth_element(ranking.begin(), parent, ranking.end(),
+                     [key](const auto& left, const auto& right) {
+                         return score(left, key) > score(right, key);
+                     });
+    return *parent;
 }
 
 } // namespace camphorrail::entries
--- a/src/entries/relays.cpp
+++ b/src/entries/relays.cpp
@@ -19,8 +19,8 @@
 relay_targets choose_relay_targets(const std::vector<linked_entry>& linked,
                                    const base::entry_id& self, const base::availability_zone& zone,
                                    base::instant now) {
-    const auto term = now.time_since_epoch() / relay_rotation_period;
-    const std::uint64_t key = base::stable_hash(self.value, static_cast<std::uint64_t>(term));
+    const auto period = now.time_since_epoch() / relay_rotation_period;
+    const std::uint64_t key = base::stable_hash(self.value, static_cast<std::uint64_t>(period));
     struct candidate {
         std::uint64_t score = 0;
         const linked_entry* entry = nullptr;
--- a/src/entries/relays_tests.cpp
+++ b/src/entries/relays_tests.cpp
@@ -24,8 +24,8 @@
     return all;
 }
 
-entries::relay_targets relays_of(const std::vector<entries::linked_entry>& all, std::size_t self,
-                                 base::instant at = now) {
+entries::relay_targets targets_of(const std::vector<entries::linked_entry>& all, std::size_t self,
+                                  base::instant at = now) {
     auto others = all;
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(self));
     return entries::choose_relay_targets(others, all[self].id, all[self].zone, at);
@@ -40,7 +40,7 @@
     const auto all = entries_in(count, zones);
     std::map<base::entry_id, entries::relay_targets> targets;
     for (std::size_t each = 0; each < count; ++each) {
-        targets[all[each].id] = relays_of(all, each);
+        targets[all[each].id] = targets_of(all, each);
     }
     // Checking a few senders is enough in a large fleet.
     for (std::size_t each = 0; each < std::min<std::size_t>(count, 20); ++each) {
@@ -61,19 +61,19 @@
 TEST_CASE("the number of direct recipients grows only with the sender's zone", "[entries]") {
     const auto all = entries_in(103, 5);
     for (std::size_t each = 0; each < all.size(); ++each) {
-        const auto relays = relays_of(all, each);
+        const auto relays = targets_of(all, each);
         CHECK(relays.same_zone.size() + relays.zone_relays.size() <= 24);
     }
 
     SECTION("relays are spread across entries") {
-        std::map<base::entry_id, int> asked;
+        std::map<base::entry_id, int> uses_as_relay;
         for (std::size_t each = 0; each < all.size(); ++each) {
-            for (const auto& relay : relays_of(all, each).zone_relays) {
-                ++asked[relay];
+            for (const auto& relay : targets_of(all, each).zone_relays) {
+                ++uses_as_relay[relay];
             }
         }
         int most = 0;
-        for (const auto& [id, count] : asked) {
+        for (const auto& [id, count] : uses_as_relay) {
             most = std::max(most, count);
         }
         CHECK(most <= 16);
@@ -85,12 +85,12 @@
 TEST_CASE("the relay changes over time", "[entries]") {
     const auto all = entries_in(103, 5);
     std::set<base::entry_id> relays;
-    for (int term = 0; term < 6; ++term) {
-        const auto at = now + base::seconds(2 * term);
-        CHECK(relays_of(all, 0, at).zone_relays ==
-              relays_of(all, 0, at + base::milliseconds(500)).zone_relays);
-        const auto far = relays_of(all, 0, at).zone_relays;
-        relays.insert(far.begin(), far.end());
+    for (int period = 0; period < 6; ++period) {
+        const auto at = now + base::seconds(2 * period);
+        CHECK(targets_of(all, 0, at).zone_relays ==
+              targets_of(all, 0, at + base::milliseconds(500)).zone_relays);
+        const auto chosen = targets_of(all, 0, at).zone_relays;
+        relays.insert(chosen.begin(), chosen.end());
     }
     CHECK(relays.size() > 8);
 }
--- a/src/entries/store_sync.cpp
+++ b/src/entries/store_sync.cpp
@@ -40,10 +40,10 @@
 
 void record_failure(store_sync& sync, const store_sync_view& view, const store_sync_rules& rules) {
     ++sync.failures;
-    const base::instant again = view.now + retry_delay_for(sync, view, rules);
-    sync.next_read = again;
-    sync.next_watch = again;
-    sync.next_verification = again;
+    const base::instant retry_at = view.now + retry_delay_for(sync, view, rules);
+    sync.next_read = retry_at;
+    sync.next_watch = retry_at;
+    sync.next_verification = retry_at;
 }
 
 } // namespace
@@ -59,9 +59,9 @@
     if (!sync.read_once) {
         return due;
     }
-    const bool was_following = sync.watches_store;
+    const bool watched_before = sync.watches_store;
     sync.watches_store = should_watch(sync, view, rules);
-    if (sync.watches_store && !was_following) {
+    if (sync.watches_store && !watched_before) {
         start_watching(sync, view);
     }
     // While the store is unreachable, only verifications probe for its return.
--- a/src/entries/store_sync_tests.cpp
+++ b/src/entries/store_sync_tests.cpp
@@ -44,7 +44,7 @@
     std::int64_t revision = 1;
     bool store_reachable = true;
     bool linked = true;
-    counts made;
+    counts calls_made;
 
     [[nodiscard]] entries::store_sync_view view(std::size_t at) const {
         const auto& one = this->all[at];
@@ -53,7 +53,7 @@
         return {this->linked ? at : 0, age, this->now};
     }
 
-    void answer(std::size_t at) {
+    void deliver_responses(std::size_t at) {
         auto& one = this->all[at];
         if (one.read_done && this->now >= *one.read_done) {
             one.read_done.reset();
@@ -69,9 +69,9 @@
             if (this->store_reachable) {
                 one.verified_at = this->now - response_time;
             }
-            const entries::verification_result shown{this->store_reachable, true,
-                                                     one.revision < this->revision};
-            entries::record_verification(one.sync, shown, this->view(at), this->rules);
+            const entries::verification_result result{this->store_reachable, true,
+                                                      one.revision < this->revision};
+            entries::record_verification(one.sync, result, this->view(at), this->rules);
         }
         const bool has_changes = this->store_reachable && one.revision < this->revision;
         const bool waited = this->now - one.watch_began > watch_wait;
@@ -84,18 +84,18 @@
 
     void query_parent(std::size_t at) {
         auto& one = this->all[at];
-        const auto& ahead = this->all[at == 0 ? 0 : (at - 1) / children_per_parent];
-        if (ahead.verified_at && (!one.verified_at || *one.verified_at < *ahead.verified_at)) {
-            one.verified_at = ahead.verified_at;
+        const auto& parent = this->all[at == 0 ? 0 : (at - 1) / children_per_parent];
+        if (parent.verified_at && (!one.verified_at || *one.verified_at < *parent.verified_at)) {
+            one.verified_at = parent.verified_at;
         }
-        one.revision = std::max(one.revision, ahead.revision);
+        one.revision = std::max(one.revision, parent.revision);
     }
 
     void tick_once() {
         this->now += tick;
         for (std::size_t at = 0; at < this->all.size(); ++at) {
             auto& one = this->all[at];
-            this->answer(at);
+            this->deliver_responses(at);
             if (this->linked && this->now.time_since_epoch() % query_period < tick) {
                 this->query_parent(at);
             }
@@ -109,20 +109,20 @@
             if (due.watch) {
                 one.watch_began = this->now;
             }
-            this->made.reads += due.read ? 1 : 0;
-            this->made.verifications += due.verify ? 1 : 0;
-            this->made.watches += due.watch ? 1 : 0;
+            this->calls_made.reads += due.read ? 1 : 0;
+            this->calls_made.verifications += due.verify ? 1 : 0;
+            this->calls_made.watches += due.watch ? 1 : 0;
         }
     }
 
     counts run(
         base::milliseconds span, const std::function<void()>& each = [] {}) {
-        this->made = {};
+        this->calls_made = {};
         for (const auto until = this->now + span; this->now < until;) {
             each();
             this->tick_once();
         }
-        return this->made;
+        return this->calls_made;
     }
 
     // The age of the oldest verification that any entry relies on.
@@ -142,19 +142,19 @@
 TEST_CASE("the number of store calls does not grow with the number of entries", "[entries]") {
     const std::size_t count = GENERATE(3U, 18U, 103U, 1000U);
     CAPTURE(count);
-    sync_simulation world(count);
-    world.run(base::seconds(2));
+    sync_simulation simulation(count);
+    simulation.run(base::seconds(2));
 
     SECTION("while the store is unchanged") {
-        const auto quiet = world.run(base::seconds(20));
+        const auto quiet = simulation.run(base::seconds(20));
         CHECK(quiet.reads == 0);
         // One verification a second by rank 0, and three watches that time out.
         CHECK(quiet.verifications <= 21);
         CHECK(quiet.watches <= 6);
-        CHECK(world.oldest_verification() < base::milliseconds(2400));
+        CHECK(simulation.oldest_verification() < base::milliseconds(2400));
     }
     SECTION("while the store changes continuously") {
-        const auto busy = world.run(base::seconds(10), [&] { ++world.revision; });
+        const auto busy = simulation.run(base::seconds(10), [&] { ++simulation.revision; });
         // Three watches, each with a delay after every response.
         CHECK(busy.watches <= 3 * 10 * 10 / 3);
         CHECK(busy.verifications <= 11);
@@ -166,15 +166,15 @@
 // seconds. Entries do not know each other before links are up, so each takes rank 0. When each one
 // watched without a delay between watches, the start cost 15,000 calls.
 TEST_CASE("entries that start together make few store calls each", "[entries]") {
-    sync_simulation world(103);
-    world.linked = false;
-    const auto alone = world.run(base::seconds(1), [&] { world.revision += 5; });
+    sync_simulation simulation(103);
+    simulation.linked = false;
+    const auto alone = simulation.run(base::seconds(1), [&] { simulation.revision += 5; });
     CHECK(alone.reads == 103);
     CHECK(alone.all() <= 103 * 6);
-    world.linked = true;
-    const auto together = world.run(base::seconds(3), [&] { world.revision += 5; });
+    simulation.linked = true;
+    const auto together = simulation.run(base::seconds(3), [&] { simulation.revision += 5; });
     CHECK(together.all() <= 100);
-    CHECK(world.oldest_verification() < base::milliseconds(2400));
+    CHECK(simulation.oldest_verification() < base::milliseconds(2400));
 }
 
 // The store is unreachable for six seconds. Clients are refused from the fifth second on and must
@@ -182,58 +182,58 @@
 TEST_CASE("few entries probe the store during an outage", "[entries]") {
     const std::size_t count = GENERATE(3U, 18U, 103U, 1000U);
     CAPTURE(count);
-    sync_simulation world(count);
-    world.run(base::seconds(5));
-    world.store_reachable = false;
-    const auto away = world.run(base::seconds(6));
+    sync_simulation simulation(count);
+    simulation.run(base::seconds(5));
+    simulation.store_reachable = false;
+    const auto away = simulation.run(base::seconds(6));
     // The first ten ranks probe at intervals that grow with their rank, the others every four
     // seconds.
     CHECK(away.all() <= 6 * 8 + static_cast<int>(count) * 2);
-    world.store_reachable = true;
-    world.run(base::seconds(2));
-    CHECK(world.oldest_verification() < base::seconds(2));
+    simulation.store_reachable = true;
+    simulation.run(base::seconds(2));
+    CHECK(simulation.oldest_verification() < base::seconds(2));
 }
 
 // All entries are killed and restarted while the store is unreachable. They have no peers, since
 // the list of entries is in the store, and each must serve within two seconds of the store's
 // return.
 TEST_CASE("entries that start during an outage verify soon after it", "[entries]") {
-    sync_simulation world(103);
-    world.linked = false;
-    world.store_reachable = false;
-    const auto away = world.run(base::seconds(10));
+    sync_simulation simulation(103);
+    simulation.linked = false;
+    simulation.store_reachable = false;
+    const auto away = simulation.run(base::seconds(10));
     CHECK(away.all() <= 103 * 9);
-    world.store_reachable = true;
-    world.run(base::seconds(2));
-    CHECK(world.oldest_verification() < base::seconds(2));
+    simulation.store_reachable = true;
+    simulation.run(base::seconds(2));
+    CHECK(simulation.oldest_verification() < base::seconds(2));
 }
 
 // The entry of rank 0 loses the store, and its peers notice only that verifications stop arriving.
 // Requests are served only while the latest verification is less than five seconds old.
 TEST_CASE("the next ranks verify when rank 0 cannot", "[entries]") {
-    sync_simulation world(18);
-    world.run(base::seconds(5));
+    sync_simulation simulation(18);
+    simulation.run(base::seconds(5));
     for (int each = 0; each < 60; ++each) {
-        world.tick_once();
-        world.all[0].verified_at.reset();
-        world.all[0].verification_done.reset();
+        simulation.tick_once();
+        simulation.all[0].verified_at.reset();
+        simulation.all[0].verification_done.reset();
     }
-    world.all.erase(world.all.begin());
-    CHECK(world.oldest_verification() < base::milliseconds(3000));
+    simulation.all.erase(simulation.all.begin());
+    CHECK(simulation.oldest_verification() < base::milliseconds(3000));
 }
 
 // Links are cut and none of a hundred entries receives verifications from another one. Each must
 // verify for itself, and may watch only if it finds a change.
 TEST_CASE("entries without verifications from peers verify for themselves but do not watch",
           "[entries]") {
-    sync_simulation world(103);
-    world.run(base::seconds(5));
-    const auto alone = world.run(base::seconds(6), [&] {
-        for (std::size_t at = 1; at < world.all.size(); ++at) {
+    sync_simulation simulation(103);
+    simulation.run(base::seconds(5));
+    const auto alone = simulation.run(base::seconds(6), [&] {
+        for (std::size_t at = 1; at < simulation.all.size(); ++at) {
             // Discards what the entry received from its parent.
-            auto& one = world.all[at];
-            if (one.verified_at && one.sync.next_verification <= world.now) {
-                one.verified_at = std::min(*one.verified_at, world.now - base::seconds(3));
+            auto& one = simulation.all[at];
+            if (one.verified_at && one.sync.next_verification <= simulation.now) {
+                one.verified_at = std::min(*one.verified_at, simulation.now - base::seconds(3));
             }
         }
     });
@@ -241,15 +241,15 @@
     CHECK(alone.verifications <= 103 * 7);
 
     SECTION("an entry watches once its verification finds a change") {
-        ++world.revision;
+        ++simulation.revision;
         entries::store_sync sync;
         sync.read_once = true;
         sync.read_needed = false;
         sync.watches_store = false;
-        const entries::store_sync_view view{50, base::seconds(3), world.now};
-        REQUIRE(entries::next_store_calls(sync, view, world.rules).verify);
-        entries::record_verification(sync, {true, true, true}, view, world.rules);
-        CHECK(entries::next_store_calls(sync, view, world.rules).watch);
+        const entries::store_sync_view view{50, base::seconds(3), simulation.now};
+        REQUIRE(entries::next_store_calls(sync, view, simulation.rules).verify);
+        entries::record_verification(sync, {true, true, true}, view, simulation.rules);
+        CHECK(entries::next_store_calls(sync, view, simulation.rules).watch);
     }
 }
 
--- a/src/loading/loader.cpp
+++ b/src/loading/loader.cpp
@@ -44,11 +44,11 @@
     return found == answer.values.end() ? nullptr : &*found;
 }
 
-bool is_free(const loader& state, const ports::stored_value* held, const event_time& at) {
-    if (held == nullptr) {
+bool is_free(const loader& state, const ports::stored_value* stored, const event_time& at) {
+    if (stored == nullptr) {
         return true;
     }
-    const auto record = parse(held->value);
+    const auto record = parse(stored->value);
     return record && record->expires_ms + 2 * state.rules.max_clock_skew.count() < at.wall_ms;
 }
 
@@ -127,14 +127,14 @@
         return out;
     }
     for (std::size_t number = 0; number < state.rules.slots; ++number) {
-        const auto* held = find(answer.value(), slot_key(number));
-        const auto record = held == nullptr ? std::nullopt : parse(held->value);
+        const auto* stored = find(answer.value(), slot_key(number));
+        const auto record = stored == nullptr ? std::nullopt : parse(stored->value);
         if (!record || record->nonce != state.nonce) {
             continue;
         }
         // An earlier write of this agent took effect, but the response to it was lost.
         state.slot = slot_key(number);
-        state.slot_revision = held->mod_revision;
+        state.slot_revision = stored->mod_revision;
         state.expires_ms = record->expires_ms;
         if (state.desired_weights == state.loaded_weights) {
             release_slot(state, out);
@@ -146,9 +146,9 @@
     state.slot.clear();
     for (std::size_t number = 0;
          number < state.rules.slots && state.desired_weights != state.loaded_weights; ++number) {
-        const auto* held = find(answer.value(), slot_key(number));
-        if (is_free(state, held, at)) {
-            acquire_slot(state, slot_key(number), held == nullptr ? 0 : held->mod_revision, at,
+        const auto* stored = find(answer.value(), slot_key(number));
+        if (is_free(state, stored, at)) {
+            acquire_slot(state, slot_key(number), stored == nullptr ? 0 : stored->mod_revision, at,
                          out);
             return out;
         }
--- a/src/loading/loader_tests.cpp
+++ b/src/loading/loader_tests.cpp
@@ -176,15 +176,15 @@
               std::function<void(const base::result<Answer>&)> done) {
         const int incarnation = this->agents[number].incarnation;
         const bool lost = this->chance(10);
-        const base::micros there =
+        const base::micros write_delay =
             this->chance(10) ? this->between(seconds(1), seconds(20)) : milliseconds(5);
         auto answer = std::make_shared<base::result<Answer>>(base::code::platform_unreachable);
-        this->after(there, [this, effect, answer] {
+        this->after(write_delay, [this, effect, answer] {
             if (this->now >= this->outage_until) {
                 *answer = effect();
             }
         });
-        this->after(lost ? milliseconds(400) : there + milliseconds(5), [=, this] {
+        this->after(lost ? milliseconds(400) : write_delay + milliseconds(5), [=, this] {
             this->deliver(number, incarnation, [done, answer, lost] {
                 done(lost ? base::result<Answer>(base::code::platform_unreachable) : *answer);
             });
--- a/src/mirror/store_mirror.cpp
+++ b/src/mirror/store_mirror.cpp
@@ -85,13 +85,14 @@
         }
     }
     for (auto it = state.items.begin(); it != state.items.end();) {
-        const bool gone = present.count(it->first) == 0 && it->second.mod_revision <= read.revision;
-        if (gone) {
+        const bool absent =
+            present.count(it->first) == 0 && it->second.mod_revision <= read.revision;
+        if (absent) {
             changed.insert(it->first);
             record_removal(state, it->first, read.revision);
             state.written_after.erase(it->first);
         }
-        it = gone ? state.items.erase(it) : std::next(it);
+        it = absent ? state.items.erase(it) : std::next(it);
     }
     if (state.revision == 0) {
         // Removals before the first read are unknown.
@@ -145,10 +146,12 @@
     }
     // A higher revision than the pending one is reached later. If it replaced the pending revision
     // each time, none might ever be reached.
-    const bool earlier = !state.pending_revision || revision < state.pending_revision->revision;
-    const bool fresher = state.pending_revision && revision == state.pending_revision->revision &&
-                         requested_at > state.pending_revision->requested_at;
-    if (earlier || fresher) {
+    const bool lower_revision =
+        !state.pending_revision || revision < state.pending_revision->revision;
+    const bool newer_request = state.pending_revision &&
+                               revision == state.pending_revision->revision &&
+                               requested_at > state.pending_revision->requested_at;
+    if (lower_revision || newer_request) {
         state.pending_revision = {revision, requested_at};
     }
 }
--- a/src/mirror/store_mirror_tests.cpp
+++ b/src/mirror/store_mirror_tests.cpp
@@ -46,45 +46,45 @@
 // response carried the whole store, the responses saturated the links of the smallest VMs and
 // delayed client traffic.
 TEST_CASE("a peer at a known revision receives only the changes since then", "[mirror]") {
-    mirror::store_mirror here;
-    mirror::apply_snapshot(here, {10, {{"a", "1", 3}, {"b", "1", 10}}}, base::instant{});
-    mirror::store_mirror there = here;
-    mirror::apply_changes(here, {12, {{{"a", "2", 11}, false}, {{"b", "", 12}, true}}});
-    const auto since = mirror::changes_since(here, 10);
+    mirror::store_mirror local;
+    mirror::apply_snapshot(local, {10, {{"a", "1", 3}, {"b", "1", 10}}}, base::instant{});
+    mirror::store_mirror peer = local;
+    mirror::apply_changes(local, {12, {{{"a", "2", 11}, false}, {{"b", "", 12}, true}}});
+    const auto since = mirror::changes_since(local, 10);
     REQUIRE(since);
     CHECK(since->revision == 12);
     CHECK(since->items.size() == 2);
-    mirror::apply_changes(there, *since);
-    CHECK(there.items.size() == 1);
-    CHECK(there.items.at("a").value == "2");
-    CHECK(there.revision == 12);
+    mirror::apply_changes(peer, *since);
+    CHECK(peer.items.size() == 1);
+    CHECK(peer.items.at("a").value == "2");
+    CHECK(peer.revision == 12);
 
     SECTION("no items if nothing has changed") {
-        CHECK(mirror::changes_since(here, 12)->items.empty());
+        CHECK(mirror::changes_since(local, 12)->items.empty());
     }
     SECTION("keys that are absent from a later snapshot are reported as removed") {
-        mirror::apply_snapshot(here, {20, {}}, base::instant{});
-        const auto later = mirror::changes_since(here, 12);
+        mirror::apply_snapshot(local, {20, {}}, base::instant{});
+        const auto later = mirror::changes_since(local, 12);
         REQUIRE(later);
-        mirror::apply_changes(there, *later);
-        CHECK(there.items.empty());
+        mirror::apply_changes(peer, *later);
+        CHECK(peer.items.empty());
     }
     SECTION("a key that was written again is not reported as removed") {
-        mirror::apply_changes(here, {13, {{{"b", "3", 13}, false}}});
-        mirror::apply_changes(there, *mirror::changes_since(here, 12));
-        CHECK(there.items.at("b").value == "3");
+        mirror::apply_changes(local, {13, {{{"b", "3", 13}, false}}});
+        mirror::apply_changes(peer, *mirror::changes_since(local, 12));
+        CHECK(peer.items.at("b").value == "3");
     }
     SECTION("no changes are returned if the removals since then are not all known") {
-        CHECK_FALSE(mirror::changes_since(here, 9));
+        CHECK_FALSE(mirror::changes_since(local, 9));
         for (int key = 0; key < 600; ++key) {
             const std::int64_t revision = 100 + 2 * key;
             const std::string name = "k" + std::to_string(key);
-            mirror::apply_changes(here, {revision, {{{name, "", revision}, false}}});
-            mirror::apply_changes(here, {revision + 1, {{{name, "", revision + 1}, true}}});
+            mirror::apply_changes(local, {revision, {{{name, "", revision}, false}}});
+            mirror::apply_changes(local, {revision + 1, {{{name, "", revision + 1}, true}}});
         }
-        CHECK_FALSE(mirror::changes_since(here, 12));
-        CHECK(mirror::changes_since(here, here.revision - 100));
-        CHECK(here.removed.size() <= 256);
+        CHECK_FALSE(mirror::changes_since(local, 12));
+        CHECK(mirror::changes_since(local, local.revision - 100));
+        CHECK(local.removed.size() <= 256);
     }
 }
 
@@ -117,16 +117,16 @@
 // removal when the reader no longer has the key. When the reader ignored it, peers that
 // synchronized with the reader adopted its later revision and kept the upstream.
 TEST_CASE("removals are sent to peers even if the key was not present here", "[mirror]") {
-    mirror::store_mirror here;
-    mirror::apply_snapshot(here, {10, {{"up/a", "a", 9}}}, at(1));
-    mirror::store_mirror there = here;
-    mirror::apply_snapshot(here, {10, {}}, at(2));
-    mirror::apply_changes(here, {12, {{{"up/a", "", 12}, true}}});
-    const auto since = mirror::changes_since(here, there.revision);
+    mirror::store_mirror local;
+    mirror::apply_snapshot(local, {10, {{"up/a", "a", 9}}}, at(1));
+    mirror::store_mirror peer = local;
+    mirror::apply_snapshot(local, {10, {}}, at(2));
+    mirror::apply_changes(local, {12, {{{"up/a", "", 12}, true}}});
+    const auto since = mirror::changes_since(local, peer.revision);
     REQUIRE(since);
-    mirror::apply_changes(there, *since);
-    CHECK(there.revision == 12);
-    CHECK(there.items.empty());
+    mirror::apply_changes(peer, *since);
+    CHECK(peer.revision == 12);
+    CHECK(peer.items.empty());
 }
 
 TEST_CASE("a mirror is complete as of the request for a revision that it has reached", "[mirror]") {
--- a/src/once/ledger.cpp
+++ b/src/once/ledger.cpp
@@ -112,21 +112,21 @@
     state.dirty_segments.insert(*entry.segment);
 }
 
-void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const event_time& at,
+void refuse_waiters(ledger& state, key_entry& entry, const refusal& reason, const event_time& at,
                     actions& out) {
     for (const auto& attempt : entry.waiters) {
-        if (why.ran == base::execution_state::not_run) {
+        if (reason.ran == base::execution_state::not_run) {
             state.tombstones[attempt] = at.now;
         }
-        out.push_back(refuse_action{attempt, why.number, why.ran, why.retry_after});
+        out.push_back(refuse_action{attempt, reason.number, reason.ran, reason.retry_after});
     }
     entry.waiters.clear();
 }
 
 void resolve_outcome_queries(ledger& state, const event_time& at, actions& out) {
-    const auto asked = std::move(state.outcome_queries);
+    const auto queries = std::move(state.outcome_queries);
     state.outcome_queries.clear();
-    for (const auto& key : asked) {
+    for (const auto& key : queries) {
         const auto found = state.keys.find(key);
         if (found == state.keys.end()) {
             continue;
--- a/src/once/ledger.h
+++ b/src/once/ledger.h
@@ -260,7 +260,7 @@
 };
 // Refuses all attempts that wait for a key. An attempt reported as "not run" is tombstoned, so that
 // a delayed copy of its order can't run later.
-void refuse_waiters(ledger& state, key_entry& entry, const refusal& why, const event_time& at,
+void refuse_waiters(ledger& state, key_entry& entry, const refusal& reason, const event_time& at,
                     actions& out);
 // Runs the calls whose claims are now recorded, or releases the claims whose deadline has passed.
 void run_claims(ledger& state, const std::vector<base::idempotency_key>& written,
--- a/src/once/ledger_journal.cpp
+++ b/src/once/ledger_journal.cpp
@@ -144,9 +144,9 @@
 // Adds changed segments to a transaction. Each write expects the last known revision of its
 // segment. Otherwise, a delayed write whose response was lost could overwrite a newer one, and
 // erase claims of calls that have been sent.
-void add_segments(ledger& state, ports::transaction& change, std::size_t most) {
+void add_segments(ledger& state, ports::transaction& change, std::size_t max_segments) {
     for (const std::int64_t number : state.dirty_segments) {
-        if (state.segments_in_flight.size() == most) {
+        if (state.segments_in_flight.size() == max_segments) {
             break;
         }
         segment records;
@@ -157,10 +157,10 @@
                 state.claims_in_flight.push_back(key);
             }
         }
-        const std::string place =
+        const std::string store_key =
             segment_key(state.pool, state.self, state.own_record.incarnation, number);
-        change.preconditions.push_back({place, state.segment_revisions[number]});
-        change.writes.push_back({place, to_text(records)});
+        change.preconditions.push_back({store_key, state.segment_revisions[number]});
+        change.writes.push_back({store_key, to_text(records)});
         state.segments_in_flight.insert(number);
     }
     for (const std::int64_t number : state.segments_in_flight) {
@@ -171,8 +171,8 @@
 void add_expired(ledger& state, ports::transaction& change) {
     constexpr std::size_t max_erased = 16;
     std::size_t erased = 0;
-    for (const auto& [place, revision] : state.expired_segments) {
-        change.writes.push_back({place, "", true});
+    for (const auto& [store_key, revision] : state.expired_segments) {
+        change.writes.push_back({store_key, "", true});
         if (++erased == max_erased) {
             break;
         }
@@ -200,8 +200,8 @@
         const key_entry& entry = found->second;
         const bool settled =
             entry.phase != key_phase::running && entry.phase != key_phase::claiming;
-        const bool old = entry.claimed_at_ms + state.rules.retention_ms < at.wall_ms;
-        if (!settled || !old ||
+        const bool expired = entry.claimed_at_ms + state.rules.retention_ms < at.wall_ms;
+        if (!settled || !expired ||
             (entry.segment && state.segments_in_flight.count(*entry.segment) != 0)) {
             ++found;
             continue;
--- a/src/once/ledger_journal.h
+++ b/src/once/ledger_journal.h
@@ -20,8 +20,8 @@
 // Merges the records of other agents and incarnations for keys that this agent owns.
 void merge_journal(ledger& state, const journal_view& view);
 
-// Adds at most `most` changed segments to a transaction.
-void add_segments(ledger& state, ports::transaction& change, std::size_t most);
+// Adds at most `max_segments` changed segments to a transaction.
+void add_segments(ledger& state, ports::transaction& change, std::size_t max_segments);
 
 // Adds the removal of segments whose keys have all passed their retention time.
 void add_expired(ledger& state, ports::transaction& change);
--- a/src/once/ledger_platform.cpp
+++ b/src/once/ledger_platform.cpp
@@ -39,8 +39,8 @@
 
 // The latest timestamp of keys that may have run unrecorded on the agent of this record.
 std::int64_t unrecorded_until(const owner_record& record) {
-    const bool silent_end = record.closed && !record.clean && record.outage_grace.count() > 0;
-    return std::max(record.unrecorded_until_ms, silent_end ? record.closed_at_ms : 0);
+    const bool unclean_end = record.closed && !record.clean && record.outage_grace.count() > 0;
+    return std::max(record.unrecorded_until_ms, unclean_end ? record.closed_at_ms : 0);
 }
 
 // The time since which an owner has been missing without interruption.
@@ -56,8 +56,8 @@
 void record_missing(ledger& state, const pool_state& read, const event_time& at) {
     for (const auto& owner : state.configured.owners) {
         const auto record = read.records.find(owner);
-        const bool here = record != read.records.end() && !record->second.closed;
-        if (owner == state.self || (here && read.alive.count(owner) != 0)) {
+        const bool has_open_record = record != read.records.end() && !record->second.closed;
+        if (owner == state.self || (has_open_record && read.alive.count(owner) != 0)) {
             state.missing_since.erase(owner);
             state.dead_owners.erase(owner);
         } else if (record != read.records.end() && record->second.closed) {
@@ -66,7 +66,7 @@
             const std::string nonce =
                 record == read.records.end() ? std::string() : record->second.nonce;
             const auto since = missing_since_time(state, owner, nonce, at);
-            if (!here && at.now >= since + state.rules.takeover_after) {
+            if (!has_open_record && at.now >= since + state.rules.takeover_after) {
                 state.dead_owners.insert(owner);
             }
         }
@@ -131,11 +131,11 @@
     next.closed = closing;
     next.clean = closing;
     next.closed_at_ms = closing ? at.wall_ms : 0;
-    const std::string place = owner_key(state.pool, state.self);
+    const std::string store_key = owner_key(state.pool, state.self);
     const std::string alive = alive_key(state.pool, state.self);
     ports::transaction change;
-    change.preconditions.push_back({place, state.fence_revision});
-    change.writes.push_back({place, to_text(next)});
+    change.preconditions.push_back({store_key, state.fence_revision});
+    change.writes.push_back({store_key, to_text(next)});
     change.writes.push_back({alive, state.nonce, closing, closing ? 0 : state.lease});
     if (state.has_record) {
         // Calls that ran unrecorded must be recorded before another agent can own their keys.
@@ -180,9 +180,9 @@
 void join(ledger& state, const pool_state& read, const event_time& at, actions& out) {
     const auto own = read.records.find(state.self);
     state.fence_revision = own == read.records.end() ? 0 : read.revisions.at(state.self);
-    const bool mine = own != read.records.end() && state.has_record &&
-                      own->second.nonce == state.own_record.nonce && !own->second.closed;
-    if (!mine) {
+    const bool holds_record = own != read.records.end() && state.has_record &&
+                              own->second.nonce == state.own_record.nonce && !own->second.closed;
+    if (!holds_record) {
         const std::int64_t last = own == read.records.end() ? 0 : own->second.incarnation.value;
         // Another process with the same name was started later and holds the record, so this
         // process has been replaced.
@@ -202,13 +202,13 @@
     start_record_write(state, false, at, out);
 }
 
-bool took_effect(const ledger& state, const pool_state& read) {
+bool proposal_took_effect(const ledger& state, const pool_state& read) {
     const auto own = read.records.find(state.self);
     return own != read.records.end() && !state.proposed_record.nonce.empty() &&
            own->second.nonce == state.proposed_record.nonce && own->second == state.proposed_record;
 }
 
-bool still_ours(const ledger& state, const pool_state& read) {
+bool record_unchanged(const ledger& state, const pool_state& read) {
     const auto own = read.records.find(state.self);
     return state.has_record && own != read.records.end() && own->second == state.own_record &&
            read.revisions.at(state.self) == state.fence_revision;
@@ -352,18 +352,18 @@
     }
     const pool_state read = read_members(state, answer.value());
     const bool undecided = state.state == phase::joining || state.state == phase::closing;
-    if (undecided && took_effect(state, read)) {
+    if (undecided && proposal_took_effect(state, read)) {
         adopt_proposed_record(state, read.revisions.at(state.self));
     }
     if (state.state == phase::closing) {
-        state.state = still_ours(state, read) ? phase::closing : phase::closed;
+        state.state = record_unchanged(state, read) ? phase::closing : phase::closed;
         state.pool_read_needed = false;
     } else if (state.state == phase::joining) {
         record_missing(state, read, at);
         join(state, read, at, out);
     } else if (state.state == phase::closed) {
         return out;
-    } else if (!still_ours(state, read)) {
+    } else if (!record_unchanged(state, read)) {
         state.state = phase::joining;
         state.pool_read_needed = true;
     } else if (kind == operation::read_pool) {
--- a/src/once/ledger_tests.cpp
+++ b/src/once/ledger_tests.cpp
@@ -71,8 +71,8 @@
                 this->answers.push_back(*answer);
             } else if (const auto* refusal = std::get_if<once::refuse_action>(&action)) {
                 this->refusals.push_back(*refusal);
-            } else if (const auto* gone = std::get_if<once::tombstoned_action>(&action)) {
-                this->tombstoned.push_back(*gone);
+            } else if (const auto* cancelled = std::get_if<once::tombstoned_action>(&action)) {
+                this->tombstoned.push_back(*cancelled);
             } else {
                 this->platform_calls.push_back(action);
             }
@@ -340,7 +340,7 @@
         b.answer_calls();
         CHECK(b.ran.size() == 1);
         a.at.now += seconds(6);
-        a.apply(once::on_tick(a.ledger, a.at)); // its read of the members hangs
+        a.apply(once::on_tick(a.ledger, a.at)); // the read of the members stays unanswered
         a.apply(once::on_lease_renewed(a.ledger, 2, a.at.now, a.at));
         a.order("2", key);
         a.advance(seconds(3), false);
--- a/src/once/records.cpp
+++ b/src/once/records.cpp
@@ -26,8 +26,8 @@
 
 std::string hex_decode(const std::string& hex) {
     std::string bytes;
-    for (std::size_t place = 0; place + 1 < hex.size(); place += 2) {
-        bytes += static_cast<char>(std::stoi(hex.substr(place, 2), nullptr, 16));
+    for (std::size_t position = 0; position + 1 < hex.size(); position += 2) {
+        bytes += static_cast<char>(std::stoi(hex.substr(position, 2), nullptr, 16));
     }
     return bytes;
 }
--- a/src/once/schedule_tests.cpp
+++ b/src/once/schedule_tests.cpp
@@ -109,15 +109,15 @@
 TEST_CASE("print one schedule", "[.print]") {
     const char* seed = std::getenv("CAMPHORRAIL_SEED");
     const char* key = std::getenv("CAMPHORRAIL_KEY");
-    const auto happened = once_world::run_schedule(
+    const auto history = once_world::run_schedule(
         seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10), planted::nothing);
-    for (const auto& item : happened) {
+    for (const auto& item : history) {
         if (key != nullptr && item.key.find(key) == std::string::npos &&
             item.attempt != std::string(key)) {
             continue;
         }
-        static const char* const names[] = {"asked",   "ran",        "answered",
-                                            "refused", "tombstoned", "declared dead"};
+        static const char* const names[] = {"requested", "ran",        "answered",
+                                            "refused",   "tombstoned", "declared dead"};
         std::cout << static_cast<double>(item.at.time_since_epoch().count()) / 1e6 << " "
                   << names[static_cast<int>(item.what)] << " " << item.key << " " << item.attempt
                   << " " << base::to_string(item.ran) << " " << static_cast<int>(item.number)
