--- a/src/proxy/request_responses.cpp
+++ b/src/proxy/request_responses.cpp
@@ -245,7 +245,7 @@
     const bool has_room = load && load->waiting == 0 && load->running < load->slots;
     const bool outdated =
         this->criteria.prompt != nullptr &&
-        choice.weights < newest(history_of(this->context.state, this->metadata.model));
+        choice.weights < newest_version(history_of(this->context.state, this->metadata.model));
     if (member != nullptr) {
         const bool changing = outdated || this->current->metadata.wrong_instance;
         member->busy_until = std::max(
