--- a/src/once/ledger_platform.cpp
+++ b/src/once/ledger_platform.cpp
@@ -10,7 +10,7 @@
 
 constexpr base::milliseconds default_retry_after{1000};
 
-// What one read of the pool says, put in order.
+// The members of the pool, parsed from one read.
 struct pool_state {
     std::map<base::upstream_id, owner_record> records;
     std::map<base::upstream_id, std::int64_t> revisions;
@@ -37,13 +37,13 @@
     return read;
 }
 
-// Until when keys may have run unrecorded at the agent that this record speaks of.
+// The latest timestamp of keys that may have run unrecorded on the agent of this record.
 std::int64_t unrecorded_until(const owner_record& record) {
-    const bool silent_end = record.closed && !record.clean && record.outage_grace.count() > 0;
-    return std::max(record.unrecorded_until_ms, silent_end ? record.closed_at_ms : 0);
+    const bool unclean_end = record.closed && !record.clean && record.outage_grace.count() > 0;
+    return std::max(record.unrecorded_until_ms, unclean_end ? record.closed_at_ms : 0);
 }
 
-// Since when an owner has been missing without a return between.
+// The time since which an owner has been missing without interruption.
 base::instant missing_since_time(ledger& state, const base::upstream_id& owner,
                                  const std::string& record, const event_time& at) {
     auto& known = state.missing_since.try_emplace(owner, absence{record, at.now}).first->second;
@@ -56,8 +56,8 @@
 void record_missing(ledger& state, const pool_state& read, const event_time& at) {
     for (const auto& owner : state.configured.owners) {
         const auto record = read.records.find(owner);
-        const bool here = record != read.records.end() && !record->second.closed;
-        if (owner == state.self || (here && read.alive.count(owner) != 0)) {
+        const bool has_open_record = record != read.records.end() && !record->second.closed;
+        if (owner == state.self || (has_open_record && read.alive.count(owner) != 0)) {
             state.missing_since.erase(owner);
             state.dead_owners.erase(owner);
         } else if (record != read.records.end() && record->second.closed) {
@@ -66,7 +66,7 @@
             const std::string nonce =
                 record == read.records.end() ? std::string() : record->second.nonce;
             const auto since = missing_since_time(state, owner, nonce, at);
-            if (!here && at.now >= since + state.rules.takeover_after) {
+            if (!has_open_record && at.now >= since + state.rules.takeover_after) {
                 state.dead_owners.insert(owner);
             }
         }
@@ -89,7 +89,8 @@
         if (record == state.other_records.end() || record->second.closed) {
             continue;
         }
-        // Until its grace is over it may still run dated keys, relying on nobody taking over.
+        // Until its grace time is over, the owner may still run timestamped keys, relying on not
+        // being replaced.
         const base::micros grace = record->second.outage_grace;
         if (now >= missing.since + state.rules.takeover_after + grace) {
             return owner;
@@ -118,9 +119,9 @@
     out.push_back(commit_action{std::move(change)});
 }
 
-// Proposes an owner record. From here until the answer, whatever it is, nothing may run on the
-// strength of the old record: the new one may take effect at any moment, also if the answer is
-// lost, and others act on it.
+// Proposes an owner record. From now until the result is known, nothing may run under the old
+// record: the new one may take effect at any time, even if the response is lost, and other agents
+// act on it.
 void start_record_write(ledger& state, bool closing, const event_time& at, actions& out) {
     owner_record& next = state.proposed_record;
     next.agent = state.self;
@@ -130,14 +131,14 @@
     next.closed = closing;
     next.clean = closing;
     next.closed_at_ms = closing ? at.wall_ms : 0;
-    const std::string place = owner_key(state.pool, state.self);
+    const std::string store_key = owner_key(state.pool, state.self);
     const std::string alive = alive_key(state.pool, state.self);
     ports::transaction change;
-    change.preconditions.push_back({place, state.fence_revision});
-    change.writes.push_back({place, to_text(next)});
+    change.preconditions.push_back({store_key, state.fence_revision});
+    change.writes.push_back({store_key, to_text(next)});
     change.writes.push_back({alive, state.nonce, closing, closing ? 0 : state.lease});
     if (state.has_record) {
-        // What ran unrecorded becomes known before anyone else may own its key.
+        // Calls that ran unrecorded must be recorded before another agent can own their keys.
         detail::add_segments(state, change, state.dirty_segments.size());
     }
     state.alive_lease = state.lease;
@@ -165,8 +166,9 @@
     if (prior.closed || prior.outage_grace.count() == 0) {
         return;
     }
-    // It may still be there, cut off from the platform only, and run dated keys until its time is
-    // up. We wait for that, and rule out none of its keys.
+    // The previous incarnation may still be running, disconnected only from the platform, and may
+    // run timestamped keys until its grace time is over. This incarnation waits for that and treats
+    // all such keys as possibly run.
     const base::micros wait = state.rules.lease + prior.outage_grace + state.rules.clock_margin;
     state.earliest_run = at.now + wait;
     state.proposed_record.unrecorded_until_ms =
@@ -174,16 +176,16 @@
     state.suspect_until_ms = state.proposed_record.unrecorded_until_ms;
 }
 
-// Takes a place in the pool after a read that says who held it last.
+// Joins the pool after a read that shows the previous holder of the owner record.
 void join(ledger& state, const pool_state& read, const event_time& at, actions& out) {
     const auto own = read.records.find(state.self);
     state.fence_revision = own == read.records.end() ? 0 : read.revisions.at(state.self);
-    const bool mine = own != read.records.end() && state.has_record &&
-                      own->second.nonce == state.own_record.nonce && !own->second.closed;
-    if (!mine) {
+    const bool holds_record = own != read.records.end() && state.has_record &&
+                              own->second.nonce == state.own_record.nonce && !own->second.closed;
+    if (!holds_record) {
         const std::int64_t last = own == read.records.end() ? 0 : own->second.incarnation.value;
-        // Another process of our name, started later, holds the record and is alive: we are the
-        // one that was replaced.
+        // Another process with the same name was started later and holds the record, so this
+        // process has been replaced.
         const bool replaced = state.has_record && own != read.records.end() &&
                               last > state.own_record.incarnation.value;
         if (replaced) {
@@ -200,13 +202,13 @@
     start_record_write(state, false, at, out);
 }
 
-bool took_effect(const ledger& state, const pool_state& read) {
+bool proposal_took_effect(const ledger& state, const pool_state& read) {
     const auto own = read.records.find(state.self);
     return own != read.records.end() && !state.proposed_record.nonce.empty() &&
            own->second.nonce == state.proposed_record.nonce && own->second == state.proposed_record;
 }
 
-bool still_ours(const ledger& state, const pool_state& read) {
+bool record_unchanged(const ledger& state, const pool_state& read) {
     const auto own = read.records.find(state.self);
     return state.has_record && own != read.records.end() && own->second == state.own_record &&
            read.revisions.at(state.self) == state.fence_revision;
@@ -221,7 +223,7 @@
     state.pool_read_needed = true;
 }
 
-// Claims that were waiting for a key which has moved on to another owner.
+// Drops pending claims for keys that have moved to another owner.
 void drop_moved_claims(ledger& state, const event_time& at, actions& out) {
     const auto claims = state.pending_claims;
     for (const auto& key : claims) {
@@ -238,8 +240,8 @@
     }
 }
 
-// A read of the members alone changes nothing about what may run: an owner that gave keys up may
-// have run them before, and only the journal, read at the same revision, says so.
+// A read of the members alone must not change what may run. An owner that gave up keys may have run
+// them before, which only the journal read at the same revision shows.
 void apply_members(ledger& state, const pool_state& read, const event_time& at) {
     auto other_records = read.records;
     other_records.erase(state.self);
@@ -288,7 +290,7 @@
     } else {
         state.platform_down_since = state.platform_down_since.value_or(at.now);
         state.retry_at = at.now + state.rules.retry_after_failure;
-        // An absence counts only where it was watched without a gap.
+        // An absence counts only if it was observed without a gap.
         state.missing_since.clear();
     }
 }
@@ -350,18 +352,18 @@
     }
     const pool_state read = read_members(state, answer.value());
     const bool undecided = state.state == phase::joining || state.state == phase::closing;
-    if (undecided && took_effect(state, read)) {
+    if (undecided && proposal_took_effect(state, read)) {
         adopt_proposed_record(state, read.revisions.at(state.self));
     }
     if (state.state == phase::closing) {
-        state.state = still_ours(state, read) ? phase::closing : phase::closed;
+        state.state = record_unchanged(state, read) ? phase::closing : phase::closed;
         state.pool_read_needed = false;
     } else if (state.state == phase::joining) {
         record_missing(state, read, at);
         join(state, read, at, out);
     } else if (state.state == phase::closed) {
         return out;
-    } else if (!still_ours(state, read)) {
+    } else if (!record_unchanged(state, read)) {
         state.state = phase::joining;
         state.pool_read_needed = true;
     } else if (kind == operation::read_pool) {
@@ -385,8 +387,9 @@
     } else if (!applied) {
         detail::requeue_segments_in_flight(state);
         state.pool_read_needed = true;
-        // A record's fate must be known before anything is done; a journal's write is simply read
-        // back, since each of them says again all that it has to say.
+        // The result of a record write must be known before anything else is done. A journal write
+        // only has to be read back, because each journal write contains the full content of its
+        // segments.
         if (kind == operation::write_journal && state.state == phase::active &&
             answer.has_value()) {
             state.state = phase::reading;
