--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -18,8 +18,7 @@
 }
 
 base::micros max_config_age(const settings::proxy_settings& settings) {
-    // A request's way to the upstream, and the time a loaded machine takes for one turn of its
-    // loop.
+    // Covers a request's transit to the upstream and one event loop iteration of a loaded machine.
     constexpr base::milliseconds margin{400};
     return std::max<base::milliseconds>(settings.bounds.revoke - margin, margin);
 }
@@ -33,21 +32,22 @@
 }
 
 base::micros max_outdated_weights_age(const settings::proxy_settings& settings) {
-    // The way to the upstream, and the longest turn of a loaded VM's loop, before which a request
-    // may not leave. When weights were named is never taken for later than it was.
+    // Covers the transit to the upstream and the longest event loop iteration on a loaded VM,
+    // before which a request may not be sent. The time at which weights were set is never estimated
+    // too late.
     constexpr base::milliseconds margin{1000};
     return std::max<base::milliseconds>(settings.bounds.outdated_weights - margin, margin);
 }
 
 fleet::fleet_rules fleet_rules_of(const settings::proxy_settings& settings) {
     fleet::fleet_rules rules;
-    // Two failures in a row are rare on a sound upstream, and a crashed one fails every call; with
-    // three, one more caller of each entry would be lost to it.
+    // Two consecutive failures are rare on a healthy upstream, and a crashed one fails every call;
+    // with three, one more request of each entry would be lost to it.
     rules.health.failures_to_eject = 2;
     rules.health.ejection_failure_rate = 0.4;
     rules.health.base_ejection = base::milliseconds(1000);
-    // A crashed engine is back in some seconds; a longer absence than this would cost more than the
-    // one call that finds it still down.
+    // A crashed engine is back within seconds; a longer ejection would cost more than the one call
+    // that finds it still down.
     rules.health.max_ejection = base::seconds(4);
     rules.unlisted_grace = settings.bounds.drain * 7 / 10;
     return rules;
@@ -121,7 +121,7 @@
 
 namespace {
 
-// Gives how long the upstream is ejected for, if this ejected it.
+// Returns the duration of the ejection if this update ejected the upstream.
 template <class Update>
 std::optional<base::micros> update_health(entry_context& context,
                                           const base::upstream_instance& upstream, const char* why,
@@ -158,8 +158,8 @@
 }
 
 void record_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
-    // Others are not told: some services fail one call in seven, and of many entries one always
-    // sees several in a row.
+    // Other entries are not notified: some services fail one call in seven, and among many entries
+    // there is always one that sees several failures in a row.
     update_health(context, upstream, "error_answers", membership::record_error);
 }
 
--- a/src/proxy/context_tests.cpp
+++ b/src/proxy/context_tests.cpp
@@ -5,10 +5,10 @@
 
 using namespace camphorrail;
 
-// An engine loads new weights and drops all that it had cached. An entry that counted the old parts
-// as held took the engine's memory for full, and the parts read since for yielded: prompts were
-// fetched from stores, or read again, that the engine had.
-TEST_CASE("an engine's cache is forgotten with its weights", "[proxy]") {
+// An engine drops its cache when it loads new weights. An entry that counted the old parts as
+// cached took the engine's memory to be full and newer parts to be evicted, so prompts that the
+// engine had cached were fetched from KV cache stores or read again.
+TEST_CASE("an engine's cached prompts are discarded with its weights", "[proxy]") {
     tests::proxy_world world;
     world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     auto& member = world.state.fleet.members.at({"engine"});
@@ -29,13 +29,13 @@
     cache_prompt(1);
     REQUIRE(holds(1));
 
-    SECTION("when it holds newer ones") {
+    SECTION("a newer version was loaded") {
         proxy::record_weights(world.entry(), fleet::instance_of(member), {"m"}, 2);
         CHECK_FALSE(holds(1));
         cache_prompt(2);
         CHECK(holds(2));
     }
-    SECTION("but not on late news of those that it holds") {
+    SECTION("a late report of the current version changes nothing") {
         proxy::record_weights(world.entry(), fleet::instance_of(member), {"m"}, 1);
         CHECK(holds(1));
     }
--- a/src/proxy/control_call.h
+++ b/src/proxy/control_call.h
@@ -5,7 +5,8 @@
 
 namespace camphorrail::proxy {
 
-// A call of ours to an upstream or a store, as the HTTP client takes it.
+// Converts a control request to an upstream or a KV cache store into the form that the HTTP client
+// takes.
 ports::upstream_call to_call(const ports::control_request& from);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/crash_detector.cpp
+++ b/src/proxy/crash_detector.cpp
@@ -9,14 +9,16 @@
 
 using adapters::importance;
 
-// A VM that is up refuses a connection within a round trip.
+// A VM that is up refuses a connection within one round trip.
 constexpr base::milliseconds probe_timeout{250};
-// A crashed upstream is replaced in the list within this time.
+// A crashed upstream is replaced in the platform's list within this time.
 constexpr base::seconds broken_upstream_ttl{6};
-// All connections to a crashed upstream break within this time.
+// All connections to a crashed upstream break within this time, so that one report covers all of
+// them.
 constexpr base::milliseconds victim_collection_time{20};
-// Crashes told in a row, and one more at each tick. When a hundred upstreams lose power at once,
-// nothing can be learned from it, and telling of each would fill the links between the entries.
+// Number of crashes reported at once; one more is allowed per tick. When a hundred upstreams lose
+// power together, nothing can be learned from it, and reporting each would fill the links between
+// the entries.
 constexpr int max_report_burst = 10;
 constexpr std::size_t max_reported_victims = 64;
 
--- a/src/proxy/crash_detector.h
+++ b/src/proxy/crash_detector.h
@@ -12,40 +12,42 @@
 
 namespace camphorrail::proxy {
 
-// Finds out which upstreams have crashed, tells the other entries which requests were under way
-// there, and says which requests are held back for it.
+// Detects crashed upstreams, reports the requests that were in flight there to the other entries,
+// and starts the quarantine of requests that cause crashes.
 //
-// A connection may break for many reasons: it was reset, an answer was garbled, the upstream cut
-// off what it could not finish. Where nobody listens at the upstream's address right after, or
-// another upstream has taken its place, its process has ended.
+// A connection may break for many reasons: a reset, a malformed response, an upstream that aborts
+// what it can't finish. If the upstream's address refuses connections right afterwards, or another
+// upstream has taken its place, its process has ended.
 class crash_detector {
 public:
     explicit crash_detector(entry_context& context);
 
     void record_broken_attempt(const broken_attempt& broken);
-    // The platform's list shows that an upstream, in that life, has ended.
+    // The platform's list shows that this incarnation of an upstream has ended.
     void record_ended(const base::upstream_instance& ended);
-    // Another upstream has taken its address. This entry may never have known the one before.
+    // Another upstream has taken the address of this one, whose incarnation this entry may not
+    // know.
     void record_replaced(const base::upstream_id& replaced);
-    // What another entry told, and when it wrote that.
+    // Handles a message from another entry that was written at the given time.
     void receive(const base::entry_id& from, const peering::crash_report& message,
                  base::instant written);
     void receive(const base::entry_id& from, const peering::quarantine_notice& message,
                  base::instant written);
-    // A hold that stands in the platform's store.
+    // Applies a quarantine recorded in the platform's store.
     void restore_quarantine(const quarantine::quarantined_request& recorded);
-    // What an entry is told that has just linked: all holds whose end is known.
+    // The messages for a newly connected entry: all quarantined requests whose expiry is known.
     [[nodiscard]] std::vector<peering::message> initial_messages() const;
     void tick();
 
-    // Tells the other entries.
+    // Sends a message to all other entries.
     std::function<void(const peering::message&)> broadcast;
-    // A request is held back from now on; `decided_here`: by this entry and not on another's word.
+    // Called when a request enters quarantine. `decided_here` is false if the decision came from
+    // another entry or from the store.
     std::function<void(const quarantine::quarantined_request&, bool decided_here)>
         quarantine_started;
 
 private:
-    // What has broken at one upstream, in one of its lives.
+    // Broken attempts at one incarnation of an upstream.
     struct broken_upstream {
         std::string address;
         std::vector<quarantine::crash_victim> victims;
@@ -65,7 +67,7 @@
 
     entry_context& context;
     std::map<base::upstream_instance, broken_upstream> broken_upstreams;
-    // Crashes that other entries have not been told of yet.
+    // Crashes not yet reported to the other entries.
     std::map<base::upstream_instance, quarantine::crash_report> unreported;
     adapters::timer report_timer;
     int reports_left;
--- a/src/proxy/crash_detector_tests.cpp
+++ b/src/proxy/crash_detector_tests.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t engine_count = 8;
 const std::string fatal_body = "fatal";
 
-// An engine that ends when it begins to run a certain request, and answers all others.
+// An engine that crashes when it starts a certain request and responds to all others.
 engine_script crash_on_fatal(const engine_request& got) {
     const std::string id = got.field("Request-Id");
     if (got.body == fatal_body) {
@@ -25,7 +25,7 @@
     return {{step::kind::send, tests::answer(id, "done:" + got.body)}};
 }
 
-// Engines that start again under new ids after each crash.
+// Engines that restart under new ids after each crash.
 struct crashing_pool {
     explicit crashing_pool(tests::proxy_world& world) : world(world) {
         for (std::size_t each = 0; each < engine_count; ++each) {
@@ -34,7 +34,7 @@
         }
     }
 
-    // Gives the entry time to see what has ended, and puts another engine in each one's place.
+    // Lets the entry notice crashes, and replaces each crashed engine by a new one.
     void settle() {
         constexpr int turns = 60;
         int turn = 0;
@@ -48,7 +48,7 @@
                 engine = &this->world.add_engine(by, crash_on_fatal);
             }
         }
-        // Ejections and suspicions are over.
+        // Let ejections and suspicions expire.
         this->world.move_clock(base::seconds(1));
         this->world.prove_config();
         this->world.crash_detector().tick();
@@ -62,9 +62,9 @@
 
 } // namespace
 
-// The failure: a request that crashes its upstream comes again and again and takes one after the
-// other, with all that runs there.
-TEST_CASE("a request that crashes upstreams is kept from them after three at most",
+// Guards against a request that is repeated and crashes one upstream after another, together with
+// everything else that runs there.
+TEST_CASE("a request that crashes upstreams is quarantined after at most three crashes",
           "[proxy][quarantine]") {
     const std::string route = GENERATE(std::string("stream"), std::string("resume"),
                                        std::string("safe"), std::string("once"));
@@ -78,19 +78,19 @@
     }
     CHECK(pool.crashes <= 3);
 
-    SECTION("while others are served") {
+    SECTION("other requests are served") {
         const auto seen = world.call(tests::request("safe", "r1", "harmless"));
         REQUIRE(seen.heads.size() == 1);
         CHECK(seen.heads[0].status == 200);
     }
-    SECTION("and its caller learns that it has not run, and when to come back") {
+    SECTION("the client learns that the request was not executed and when to retry") {
         const auto seen = world.call(tests::request(route, "again", fatal_body));
         REQUIRE(seen.heads.size() == 1);
         CHECK(seen.heads[0].status == 503);
         CHECK(std::stod(std::string(http::value_of(seen.heads[0].all, "Retry-After"))) > 60);
         CHECK(seen.bodies[0].find("\"quarantined\"") != std::string::npos);
     }
-    SECTION("also at an entry that has only heard of it") {
+    SECTION("an entry that only received the notice refuses it too") {
         tests::proxy_world other;
         other.add_engine("i-1", crash_on_fatal);
         for (const auto& message : world.told) {
@@ -108,9 +108,9 @@
     }
 }
 
-// The failure: a caller has another team's request refused by sending the same bytes until they are
-// held back.
-TEST_CASE("a request that is held back is another team's request no more than before",
+// Guards against a client that gets another team's request refused by sending the same bytes until
+// they are quarantined.
+TEST_CASE("a quarantined request does not affect another team's identical request",
           "[proxy][quarantine]") {
     tests::proxy_world world;
     world.config.teams.push_back({.id = {"south"}, .keys = {"k2"}});
@@ -129,10 +129,9 @@
     CHECK(world.call(of_south).heads.at(0).status == 200);
 }
 
-// The failure: an entry that reads of a hold counts its time anew from then, tells the others so,
-// and with each restart of an entry the request is refused everywhere for as long again.
-TEST_CASE("a hold that is read from its record lasts no longer than it does elsewhere",
-          "[proxy][quarantine]") {
+// Guards against an entry that restarts the duration of a quarantine when reading it from the store
+// and broadcasts the new end: each restart of an entry would then prolong the refusal everywhere.
+TEST_CASE("a quarantine restored from its record is not prolonged", "[proxy][quarantine]") {
     tests::proxy_world world;
     world.stop_clock();
     const auto identity = quarantine::identify({"/safe/x", "north", "same bytes"});
@@ -147,7 +146,7 @@
         world.crash_detector().tick();
     };
 
-    SECTION("it holds") {
+    SECTION("the quarantine applies and expires") {
         world.crash_detector().restore_quarantine(written);
         CHECK(is_held());
         wait(base::minutes(9));
@@ -155,11 +154,11 @@
         wait(base::minutes(2));
         CHECK_FALSE(is_held());
     }
-    SECTION("nobody is told of an end that is not known") {
+    SECTION("a quarantine of unknown expiry is not sent to peers") {
         world.crash_detector().restore_quarantine(written);
         CHECK(world.crash_detector().initial_messages().empty());
     }
-    SECTION("another entry's word of its end counts") {
+    SECTION("a notice from a peer sets the expiry") {
         const bool notice_first = GENERATE(true, false);
         CAPTURE(notice_first);
         if (!notice_first) {
@@ -179,7 +178,7 @@
         wait(base::seconds(61));
         CHECK_FALSE(is_held());
     }
-    SECTION("what is known to hold for longer does so") {
+    SECTION("a longer known quarantine is kept") {
         world.crash_detector().receive({"entry-2"},
                                        peering::quarantine_notice{identity, base::minutes(20)},
                                        world.entry().now());
@@ -189,9 +188,9 @@
     }
 }
 
-// The failure: upstreams crash by themselves, five of eight at once, while one harmless request
-// comes all the time, and it is refused from then on.
-TEST_CASE("a request that many crashed upstreams had under way is served afterwards",
+// Guards against quarantining a harmless, frequent request because five of eight upstreams crash at
+// once for other reasons.
+TEST_CASE("a request in flight at many crashed upstreams is served afterwards",
           "[proxy][quarantine]") {
     const std::string route = GENERATE(std::string("stream"), std::string("safe"));
     CAPTURE(route);
@@ -202,7 +201,7 @@
         return tests::request(route, "popular-" + std::to_string(++number), "popular");
     };
     for (int round = 0; round < 4; ++round) {
-        // The five keep what they get until they crash.
+        // Five engines hang on their requests until they crash.
         std::vector<tests::scripted_engine*> failing;
         for (std::size_t each = 0; each < 5; ++each) {
             failing.push_back(pool.running.at(each).second);
@@ -233,9 +232,9 @@
     }
 }
 
-// The failure: upstreams are lost in the same moment, copies of a popular request go on at once to
-// others that are lost too, and the request is held back for it.
-TEST_CASE("a request whose copies go on to upstreams that are lost too is served afterwards",
+// Guards against quarantining a popular request because upstreams are lost at the same moment and
+// copies of it are retried at once on others that are lost too.
+TEST_CASE("a request whose retries reach other lost upstreams is served afterwards",
           "[proxy][quarantine]") {
     tests::proxy_world world;
     crashing_pool pool(world);
@@ -275,7 +274,7 @@
     }
 }
 
-TEST_CASE("a connection that breaks is not taken for a crash", "[proxy][quarantine]") {
+TEST_CASE("a broken connection alone is no crash", "[proxy][quarantine]") {
     tests::proxy_world world;
     const step how = GENERATE(step{step::kind::reset, {}}, step{step::kind::close, {}});
     for (int each = 0; each < 4; ++each) {
@@ -291,9 +290,9 @@
     CHECK(world.state.quarantine.suspects.empty());
 }
 
-// The failure: copies of a fatal request that wait at other upstreams for their turn crash those
-// too, after it was held back.
-TEST_CASE("a request that is held back is called off where it waits", "[proxy][quarantine]") {
+// Guards against queued copies of a fatal request that crash more upstreams after it was
+// quarantined.
+TEST_CASE("a quarantined request is cancelled where it is in flight", "[proxy][quarantine]") {
     tests::proxy_world world;
     auto& engine = world.add_engine("i-1", [](const engine_request&) {
         return engine_script{{step::kind::hang, {}}};
@@ -304,12 +303,13 @@
     world.crash_detector().receive(
         {"entry-2"}, peering::quarantine_notice{identity, base::minutes(5)}, world.entry().now());
     REQUIRE(world.run_until([&] { return engine.closed_by_peer == 1; }));
-    // It may have run.
+    // The request may have been executed, hence 502.
     REQUIRE(world.run_until([&world] { return !world.last_seen().heads.empty(); }));
     CHECK(world.last_seen().heads.at(0).status == 502);
 }
 
-TEST_CASE("an upstream whose address another one has taken has crashed", "[proxy][quarantine]") {
+TEST_CASE("an upstream whose address was taken by another one counts as crashed",
+          "[proxy][quarantine]") {
     tests::proxy_world world;
     world.add_engine("i-1", [](const engine_request&) {
         return engine_script{{step::kind::reset, {}}};
@@ -322,9 +322,9 @@
     CHECK(world.state.quarantine.suspects.size() == 1);
 }
 
-// The failure: a suspect crashes the busiest engine, or one at which another suspect is being
-// tried, so that both are blamed.
-TEST_CASE("a suspect is tried where a crash costs the least", "[proxy][quarantine]") {
+// Guards against trying a suspect on the busiest engine, or where another suspect is on trial, so
+// that both are blamed.
+TEST_CASE("a suspect is tried where a crash costs least", "[proxy][quarantine]") {
     tests::proxy_world world;
     const auto answer = [](const engine_request& got) {
         return engine_script{{step::kind::send, tests::answer(got.field("Request-Id"), "fine")}};
@@ -333,7 +333,7 @@
     for (int each = 0; each < 6; ++each) {
         engines.push_back(&world.add_engine("i-" + std::to_string(each), answer));
         auto& member = world.state.fleet.members.at({"i-" + std::to_string(each)});
-        // The one with the most work has the most slots, and so the least load for its size.
+        // The engine with the most work has the most slots, so its relative load is the lowest.
         member.local_work.in_flight = 6 - each;
         member.listed.slots = 1000 / (each * each + 1);
     }
@@ -348,7 +348,7 @@
     CHECK(world.call(tests::request("safe", "r2", "suspect")).heads.at(0).status == 200);
     CHECK(engines[3]->requests.size() + engines[4]->requests.size() == 1);
     CHECK(engines[5]->requests.empty());
-    // A whole answer acquits.
+    // A complete response acquits the suspect.
     world.call(tests::request("safe", "r3", "suspect"));
     CHECK(engines[0]->requests.size() == 2);
 }
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -13,22 +13,25 @@
 using adapters::importance;
 
 constexpr int status_ok = 200;
-// A store answers when something has changed, or else after this long.
+// Long-poll limit: a store responds on a change, or after this time at the latest.
 constexpr base::milliseconds max_wait{1000};
-// Changes come many times a second; asked less often, they come in larger answers.
+// Pause between polls. Changes occur many times per second; with less frequent polls they arrive in
+// fewer, larger responses.
 constexpr base::milliseconds request_pause{250};
-// Beyond the wait: two ways through the region, and a loaded machine's turn.
+// Added to the wait for the timeout: a round trip through the region and one event loop iteration
+// of a loaded machine.
 constexpr base::milliseconds response_margin{400};
-// After a failure, before it is held to be down.
+// Pause after a failure, while the store is not considered down yet.
 constexpr base::milliseconds retry_pause{50};
 constexpr base::milliseconds down_pause{500};
 constexpr int failures_to_down = 2;
-// Somebody tells of each store at least every 1.3 s; whoever is next in line waits for so long, and
-// the one after it twice as long.
+// Each store is reported at least every 1.3 s. The next entry in order takes over after this
+// silence, the one after it after twice as long.
 constexpr base::seconds silence_per_place{2};
-// So many in line ask a store that was said to be down, since the first may be cut off itself.
+// This many entries in order poll a store that was reported down, since the first one may itself be
+// cut off.
 constexpr std::size_t places_probing_down_store = 3;
-// A store of 1.2 million tokens lists about 500 parts of 50 bytes.
+// A store of 1.2 million tokens lists about 500 parts of 50 bytes each.
 constexpr std::size_t max_response_bytes = 4U << 20U;
 
 } // namespace
--- a/src/proxy/kv_store_follower.h
+++ b/src/proxy/kv_store_follower.h
@@ -10,37 +10,38 @@
 
 namespace camphorrail::proxy {
 
-// Follows what the stores of kept KV cache hold. A store serves a dozen questions at once, far
-// fewer than there are entries; so one entry asks each store and tells the others. Which one it is
-// follows from the names of store and entries; the next in line takes over where it falls silent.
+// Tracks the contents of the KV cache stores. A store serves only a dozen concurrent queries, far
+// fewer than there are entries, so one entry polls each store and broadcasts its contents. Which
+// entry does so follows from the names of the store and the entries; the next one takes over if it
+// is silent.
 class kv_store_follower {
 public:
     kv_store_follower(entry_context& context,
                       std::function<std::vector<base::entry_id>()> connected_entries);
 
-    // Asks the stores that it is this entry's turn to ask.
+    // Polls the stores that this entry is responsible for.
     void tick();
-    // Takes what another entry says.
+    // Applies store contents received from another entry.
     void receive(const base::entry_id& from, const peering::kv_store_contents& contents);
-    // All that the stores hold which this entry asks, for an entry that has just linked to us.
+    // The complete contents of all stores polled by this entry, for a newly connected peer.
     [[nodiscard]] std::vector<peering::message> complete_views() const;
 
-    // Tells the other entries; to be set before the first tick.
+    // Sends contents to the other entries; must be set before the first tick.
     std::function<void(const peering::kv_store_contents&)> broadcast;
 
 private:
-    // A store, as this entry asks it.
+    // The polling state of one store.
     struct followed_store {
-        // This entry asks it now.
+        // This entry currently polls the store.
         bool followed = false;
         bool request_pending = false;
-        // Its list was read; changes since then are asked for from `next` on.
+        // The full listing has been read; later polls request changes starting at `next_sequence`.
         bool listed = false;
         std::int64_t incarnation = 0;
         std::int64_t next_sequence = 0;
         base::instant next_request_at{};
         int failures = 0;
-        // When another entry last told of it.
+        // When another entry last reported on the store.
         base::instant last_reported_at{};
     };
 
--- a/src/proxy/kv_store_follower_tests.cpp
+++ b/src/proxy/kv_store_follower_tests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A store of kept cache, and an entry that is alone or linked to others.
+// A KV cache store and an entry, either alone or connected to others.
 struct store_world {
     tests::proxy_world world;
     std::string listing = R"({"bootEpoch":7,"next":3,"held":[["m.1","aa",2520,"m"]]})";
@@ -33,7 +33,7 @@
         };
     }
 
-    // Lets time pass and the follower ask, until a condition holds.
+    // Advances the clock and runs ticks until a condition holds.
     bool tick_until(const std::function<bool()>& condition) {
         return this->world.run_until([&] {
             this->world.move_clock(base::milliseconds(20));
@@ -51,51 +51,51 @@
 
 } // namespace
 
-TEST_CASE("an entry follows a store of kept cache for all", "[proxy]") {
+TEST_CASE("one entry polls a KV cache store and broadcasts its contents", "[proxy]") {
     store_world world;
     REQUIRE(world.tick_until([&] { return world.stored_tokens("aa") == 2520; }));
     CHECK(world.sent.front().complete);
     CHECK(world.sent.front().parts.size() == 1);
 
-    SECTION("and tells what changes there") {
+    SECTION("changes are broadcast") {
         world.changes = R"({"bootEpoch":7,"next":5,"lost":false,
             "events":[[4,"+","m.1","bb",100,"m"],[5,"-","m.1","aa",0,"m"]]})";
         CHECK(world.tick_until(
             [&] { return world.stored_tokens("bb") == 100 && world.stored_tokens("aa") == 0; }));
         CHECK_FALSE(world.sent.back().complete);
     }
-    // Events come late and some never come. The store says that some are lost, and what was built
-    // on them would go wrong without a sign; so everything is read anew.
-    SECTION("and reads all of it again after a gap") {
+    // Events may arrive late or never. The store reports lost events; without reading everything
+    // again, the contents derived from them would be silently wrong.
+    SECTION("the full listing is read again after lost events") {
         world.listing = R"({"bootEpoch":7,"next":9,"held":[["m.1","cc",50,"m"]]})";
         world.changes = R"({"bootEpoch":7,"next":9,"lost":true,"events":[]})";
         CHECK(world.tick_until(
             [&] { return world.stored_tokens("cc") == 50 && world.stored_tokens("aa") == 0; }));
     }
-    SECTION("and after the store has come back empty") {
+    SECTION("the full listing is read again after the store has restarted empty") {
         world.listing = R"({"bootEpoch":8,"next":0,"held":[]})";
         world.changes = R"({"bootEpoch":8,"next":0,"lost":false,"events":[]})";
         CHECK(world.tick_until([&] { return world.stored_tokens("aa") == 0; }));
     }
-    // The store goes down. Engines that were told to fetch from it would wait for it with every
-    // prompt, so all entries hear of it at once.
-    SECTION("and says when it takes no connections") {
+    // The store goes down. Engines instructed to fetch from it would wait for it with every prompt,
+    // so all entries must learn of it at once.
+    SECTION("an unreachable store is reported") {
         world.store.stop_listening();
         CHECK(world.tick_until([&] { return world.sent.back().unreachable; }));
         CHECK(world.world.state.stored_prompts[world.store.address()].down);
         CHECK(world.stored_tokens("aa") == 0);
     }
-    SECTION("and an entry that links to it later hears all") {
+    SECTION("an entry that connects later receives the complete contents") {
         const auto views = world.follower.complete_views();
         REQUIRE(views.size() == 1);
         CHECK(std::get<peering::kv_store_contents>(views.front()).parts.size() == 1);
     }
 }
 
-// A store answers a dozen questions at once, and there may be hundreds of entries.
-TEST_CASE("one entry asks a store and the others listen", "[proxy]") {
+// A store serves a dozen concurrent queries, but there may be hundreds of entries.
+TEST_CASE("only one entry polls a store", "[proxy]") {
     store_world world;
-    // Enough others that some come before this entry, whatever the store's port is.
+    // Enough peers that some precede this entry in order, whatever the store's port is.
     for (int each = 0; each < 64; ++each) {
         world.connected.push_back({"entry-" + std::to_string(each)});
     }
@@ -107,11 +107,11 @@
     world.follower.tick();
     CHECK(world.store.connections == 0);
 
-    SECTION("until nobody has told of it for some time") {
+    SECTION("another entry takes over after a silence") {
         world.world.move_clock(base::seconds(200));
         CHECK(world.tick_until([&] { return world.stored_tokens("aa") == 2520; }));
     }
-    SECTION("and what they hear of its end counts for them too") {
+    SECTION("a store reported down counts as down") {
         world.follower.receive({"entry-1"}, {world.store.address(), false, true, {}});
         CHECK(world.world.state.stored_prompts[world.store.address()].down);
     }
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -11,18 +11,18 @@
 
 using adapters::importance;
 
-// A quarter of the shortest lease that survives two lost renewals.
+// About a quarter of the lease, so that it survives two lost renewals.
 constexpr base::milliseconds renewal_period{700};
 constexpr base::milliseconds campaign_period{500};
-// Entries ask for the vacant lead in the order of their line, so that one asks and the others hear
-// of it; with all at once, a hundred took a lease each. The last ones do so in time even where all
-// before them are cut off from the store.
+// Candidates wait in a fixed order before they campaign, so that one does and the others see its
+// success; campaigning all at once, a hundred entries took a lease each. The wait is limited, so
+// that the last ones act in time even if all before them are cut off from the store.
 constexpr base::milliseconds campaign_delay_per_place{250};
 constexpr base::milliseconds max_campaign_delay{3000};
-// Links stand by then; before, each entry takes itself for the first in line.
+// By then the links are open; before that, each entry would consider itself first in order.
 constexpr base::milliseconds startup_delay{1000};
 const std::string duty_name = "leader";
-// Entries that see the leader's key go at the same time ask one after the other.
+// Spreads the campaigns of entries that see the leader key vanish at the same time.
 constexpr std::uint64_t campaign_jitter_ms = 300;
 constexpr std::int64_t lease_seconds = 3;
 
@@ -63,8 +63,8 @@
     return this->orderer_recorded;
 }
 
-// Others wait for the end of the last term in which orders were given; so that must be in the store
-// before the first of them.
+// A new leader waits for the end of the last term in which commands were sent, so that term must be
+// recorded in the store before its first command.
 void leadership::record_orderer() {
     if (this->recording_orderer) {
         return;
@@ -142,7 +142,7 @@
     }
 }
 
-// Whether all that come before this entry in line have had their turn to take the vacant lead.
+// Whether every entry before this one in order has had its chance to become leader.
 bool leadership::is_our_turn() const {
     const auto place = static_cast<std::int64_t>(
         entries::duty_rank(this->connected_entries(), this->context.settings.id, duty_name));
@@ -175,7 +175,7 @@
     const std::int64_t last_revision = last == items.end() ? 0 : last->second.mod_revision;
     const auto before = this->last_orderer();
     ports::transaction change;
-    // What is known of the last one that ordered must be up to date.
+    // The claim fails if the record of the last entry that sent commands has changed.
     change.preconditions = {{this->leader_key(), 0}, {this->orderer_key(), last_revision}};
     change.writes = {{this->leader_key(), this->name(), false, lease}};
     this->call_pending = true;
@@ -232,7 +232,7 @@
     change.writes = {{this->leader_key(), "", true, 0}};
     this->platform.commit(change, [this](base::result<ports::commit_result> done) {
         if (!done.has_value()) {
-            // The lease ends by itself; the next leader only waits longer.
+            // The lease expires by itself; the next leader only waits longer.
             this->context.log.line(importance::keep, "leader_key_left");
         }
     });
--- a/src/proxy/leadership.h
+++ b/src/proxy/leadership.h
@@ -11,24 +11,24 @@
 
 namespace camphorrail::proxy {
 
-// One entry at a time gives orders to upstreams, by a lease in the platform's store.
+// Elects the one entry that sends load commands to upstreams, by a lease in the platform's store.
 class leadership {
 public:
-    // `linked_entries`: those that a link stands to.
+    // `connected_entries` returns the entries with an open link.
     leadership(entry_context& context, ports::platform platform,
                std::function<std::vector<base::entry_id>()> connected_entries);
 
-    // Looks whether there is something to take over or to renew.
+    // Campaigns for a vacant leadership or renews the lease, if due.
     void tick();
-    // Gives the lease up, so that another entry need not wait for its end.
+    // Releases the leadership, so that another entry need not wait for the lease to expire.
     void resign();
-    // Whether an order may be given now. The first such question of a term only has it written down
-    // that this entry orders.
+    // Whether a load command may be sent now. The first call of a term returns false and records
+    // this entry in the store as the last one to send commands.
     [[nodiscard]] bool may_issue_commands();
-    // Notes when another entry's term is over; to be called after each change of the mirror.
+    // Detects the end of another entry's term; must be called after each change of the mirror.
     void on_store_change();
     [[nodiscard]] std::int64_t fencing_token() const { return this->term ? this->term->fence : 0; }
-    // What upstreams know this holder by.
+    // The name by which upstreams know this leader.
     [[nodiscard]] std::string name() const;
 
 private:
@@ -49,13 +49,13 @@
     std::function<std::vector<base::entry_id>()> connected_entries;
     std::optional<weights::term> term;
     bool call_pending = false;
-    // The store holds that this entry orders in this term.
+    // Whether the store has recorded that this entry sends commands in this term.
     bool orderer_recorded = false;
     bool recording_orderer = false;
-    // Who holds the leader's key, as last seen.
+    // The holder of the leader key as last seen in the mirror.
     std::string last_seen_holder;
-    // When the one that gave the last orders was seen to hold the key no more, and the revision of
-    // its record then. A later record is of a later term, whose end was not seen.
+    // When the last entry to send commands was seen to have lost the leader key, and the revision
+    // of its record at that time. A newer record belongs to a later term, whose end was not seen.
     struct observed_end {
         std::int64_t orderer_revision = 0;
         base::instant at{};
@@ -63,7 +63,7 @@
     std::optional<observed_end> orderer_ended;
     base::instant next_renewal{};
     base::instant next_campaign{};
-    // Since when nobody leads, as far as this entry knows.
+    // Since when there has been no leader, as far as this entry knows.
     std::optional<base::instant> vacant_since;
 };
 
--- a/src/proxy/leadership_tests.cpp
+++ b/src/proxy/leadership_tests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// One entry that asks for the lead, and a store that gives it what it asks for.
+// An entry that campaigns for the leadership, and a store that grants everything.
 struct leadership_world {
     tests::proxy_world world;
     std::int64_t revision = 5;
@@ -47,18 +47,18 @@
         ++this->revision;
     }
 
-    // The entry reads the store as it is now.
+    // Updates the entry's mirror to the current state of the store.
     void sync_mirror() {
         this->world.state.store.revision = this->revision;
         this->leader.on_store_change();
     }
 
-    // How long it takes until this entry may order; nothing where it may not for long.
+    // Time until this entry may send commands; empty if it may not for a long time.
     std::optional<base::milliseconds> time_to_first_command() {
         constexpr base::milliseconds step{50};
         for (base::milliseconds passed{0}; passed < base::seconds(20); passed += step) {
             this->leader.tick();
-            // The first question only has it written down.
+            // The first call only records this entry in the store.
             (void)this->leader.may_issue_commands();
             if (this->leader.may_issue_commands()) {
                 return passed;
@@ -71,9 +71,9 @@
 
 } // namespace
 
-// The failure: an entry that did not see a term dates its end by that of an earlier one of the same
-// holder, and orders while that holder's last orders are still on their way.
-TEST_CASE("the end of a term in which orders were given is waited for", "[proxy]") {
+// Guards against a leader that missed a term, dates its end by an earlier term of the same holder,
+// and sends commands while that holder's last ones are still in transit.
+TEST_CASE("a new leader waits for the end of the last term that sent commands", "[proxy]") {
     leadership_world world;
     world.write("leader", "entry-2");
     world.write("orderer", "entry-2");
@@ -83,12 +83,12 @@
     world.sync_mirror();
     world.world.move_clock(base::seconds(10));
 
-    SECTION("from when it was seen") {
+    SECTION("counted from when the end was seen") {
         const auto wait = world.time_to_first_command();
         REQUIRE(wait.has_value());
         CHECK(*wait < base::milliseconds(500));
     }
-    SECTION("also where another one led since without an order") {
+    SECTION("another leader since then sent no command") {
         world.write("leader", "entry-3");
         world.sync_mirror();
         world.erase("leader");
@@ -97,7 +97,7 @@
         REQUIRE(wait.has_value());
         CHECK(*wait < base::milliseconds(500));
     }
-    SECTION("anew where the same holder gave orders in a term that was not seen") {
+    SECTION("the full wait applies if the same holder sent commands in a term that was missed") {
         world.write("orderer", "entry-2");
         world.sync_mirror();
         const auto wait = world.time_to_first_command();
@@ -106,9 +106,9 @@
     }
 }
 
-// The leader has vanished, and a hundred entries hear of it within a moment. When each took a lease
-// to claim the lead with, all but one of the leases were paid for in vain.
-TEST_CASE("entries claim the vacant lead one after the other", "[proxy]") {
+// The leader has vanished, and a hundred entries learn of it at nearly the same time. When each
+// took a lease to campaign with, all but one of these leases were paid for in vain.
+TEST_CASE("entries campaign for a vacant leadership one after the other", "[proxy]") {
     tests::proxy_world world;
     world.state.store.revision = 5;
     int leases = 0;
@@ -124,13 +124,13 @@
         }
     };
 
-    SECTION("the first in line at once, when links have had time to stand") {
+    SECTION("the first in order campaigns as soon as links have had time to open") {
         tick_for(base::milliseconds(900));
         CHECK(leases == 0);
         tick_for(base::milliseconds(300));
         CHECK(leases == 1);
     }
-    SECTION("the last one only when all others have had their turn") {
+    SECTION("the last one campaigns only after all others") {
         for (int each = 0; each < 102; ++each) {
             others.push_back({"entry-" + std::to_string(each)});
         }
@@ -142,7 +142,7 @@
         tick_for(base::seconds(10));
         CHECK(leases <= 1);
     }
-    SECTION("and each of them in time where all before it are cut off") {
+    SECTION("each one campaigns in time if all before it are cut off") {
         for (int each = 0; each < 102; ++each) {
             others.push_back({"entry-" + std::to_string(each)});
         }
--- a/src/proxy/load_exchange.cpp
+++ b/src/proxy/load_exchange.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-// So long for each entry that is told, so that what an entry sends and reads does not grow with
-// their number: with 300 that told each other ten times a second it was 1.1 MB a second.
+// Reporting interval per receiving entry, so that the traffic of an entry does not grow with their
+// number: 300 entries reporting to each other ten times per second caused 1.1 MB/s.
 constexpr base::milliseconds period_per_entry{5};
-// Twenty entries that told each other every 350 ms all sent to the same idle engine before one
-// heard of the others.
+// Shortest reporting interval. With reports every 350 ms, twenty entries all sent to the same idle
+// engine before they learned of each other's requests.
 constexpr base::milliseconds min_period{40};
-// A report is believed until two further whole ones have failed to come.
+// A report expires when the next two complete reports have failed to arrive.
 constexpr int expiry_periods = 3;
 constexpr base::milliseconds min_expiry{500};
-// Where teams have quotas, an entry says that it is there at least this often: a silent one has a
-// part of each quota reserved for it.
+// If any team has a quota, an entry reports at least this often, because a part of each quota stays
+// reserved for an entry that is silent.
 constexpr base::milliseconds heartbeat_period{150};
 
 bool same_work(const fleet::workload& left, const fleet::workload& right) {
@@ -103,7 +103,7 @@
 load_exchange::reports load_exchange::collect(std::size_t connected_count) {
     reports result;
     auto own = this->own_load(connected_count);
-    // One last message says that nothing is left.
+    // A final empty report says that no work is left.
     const bool heartbeat = this->heartbeat_due();
     const bool has_own_report =
         !is_empty(own) || heartbeat || (own.complete && this->reported_any_load);
@@ -151,7 +151,8 @@
         } else {
             member->remote_work.erase(load.from);
         }
-        // With many entries each hears little of an upstream; together they know whether it lives.
+        // With many entries each gets few bytes from an upstream; combined, they show whether it is
+        // alive.
         member->last_byte_at =
             std::max<base::instant>(member->last_byte_at, now - load.age - item.last_byte_age);
     }
--- a/src/proxy/load_exchange.h
+++ b/src/proxy/load_exchange.h
@@ -10,29 +10,30 @@
 
 namespace camphorrail::proxy {
 
-// What entries tell each other of their requests: what waits at each upstream, which prompts were
-// read where, and what was let through of teams' quotas. Entries that send prompts to the same
-// homes would else each see only their part of what waits there, and all overload the same engine
-// at once.
+// Exchanges load between entries: what is in flight at each upstream, which prompts were read
+// where, and how much of each team's quota was used. entries that place prompts by the same
+// affinity would otherwise each see only their own share of an engine's queue and overload it
+// together.
 //
-// Said as `entries/relays.h` tells: to the entries of the own zone, and to one of each other zone,
-// which passes it on. Mostly only what has changed is told, and all of it now and then, since a
-// relay may be lost with what it had not passed on.
+// Reports go to the entries of the same availability zone and to one entry of each other zone,
+// which relays them there (see `entries/relays.h`). Most reports hold only what has changed;
+// complete ones are sent periodically, since a relay may fail before it has forwarded a report.
 class load_exchange {
 public:
     explicit load_exchange(entry_context& context) : context(context) {}
 
-    // How long until something is to be told again.
+    // Time until the next report is due.
     [[nodiscard]] static base::milliseconds period(const entries::relay_targets& to);
-    // What the entries of the own zone are to hear now, with what is passed on, and the relays of
-    // other zones; nothing where there is no news. `linked`: entries that a link stands to.
+    // The reports to send now: `near` to the entries of the same zone, including relayed loads, and
+    // `far` to the relays of other zones. A report is empty if nothing has changed.
+    // `connected_count` is the number of connected entries.
     struct reports {
         std::optional<peering::load_report> near;
         std::optional<peering::load_report> far;
     };
     reports collect(std::size_t connected_count);
-    // Takes what was heard from an entry. `passes_on`: it is of another zone, and ours relies on
-    // this entry to hear of it.
+    // Applies a peer's report. `should_relay` is set if the sender is in another zone and this
+    // entry forwards its reports within its own.
     void receive(const peering::load_report& message, bool should_relay);
 
 private:
@@ -47,7 +48,7 @@
     };
 
     entry_context& context;
-    // What was last told of each upstream.
+    // The load last reported for each upstream.
     std::map<base::upstream_id, peering::upstream_load> last_reported;
     std::vector<pending_relay> pending_relays;
     base::instant next_complete_report{};
--- a/src/proxy/load_exchange_tests.cpp
+++ b/src/proxy/load_exchange_tests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Two entries that know the same engine, and what the first tells the second.
+// Two entries with the same engine; the first reports to the second.
 struct exchange_world {
     tests::proxy_world sender;
     tests::proxy_world receiver;
@@ -28,7 +28,7 @@
         return fleet::total_work(this->at_receiver(), this->receiver.entry().now()).in_flight;
     }
 
-    // Gives whether there was news.
+    // Returns whether there was anything to report.
     bool send_report(bool should_relay = false) {
         const auto reports = this->sending.collect(connected_count);
         if (reports.near) {
@@ -45,39 +45,39 @@
 
 } // namespace
 
-TEST_CASE("entries tell each other what they have under way", "[proxy]") {
+TEST_CASE("entries report their in-flight work to each other", "[proxy]") {
     exchange_world world;
     world.at_sender().local_work = {2, 5000, 9000, 0};
     REQUIRE(world.send_report());
     CHECK(world.reported_in_flight() == 2);
 
-    SECTION("and then only what has changed") {
+    SECTION("later reports hold only changes") {
         CHECK_FALSE(world.send_report());
         world.at_sender().local_work = {1, 0, 4000, 0};
         REQUIRE(world.send_report());
         CHECK(world.reported_in_flight() == 1);
     }
-    SECTION("also that nothing is left") {
+    SECTION("the end of all work is reported once") {
         world.at_sender().local_work = {};
         REQUIRE(world.send_report());
         CHECK(world.reported_in_flight() == 0);
         CHECK_FALSE(world.send_report());
     }
-    SECTION("and now and then all of it, for those that missed something") {
+    SECTION("complete reports are repeated periodically") {
         world.at_receiver().remote_work.clear();
         world.wait(base::milliseconds(150));
         REQUIRE(world.send_report());
         CHECK(world.reported_in_flight() == 2);
     }
-    SECTION("and are believed for a while only") {
+    SECTION("reports expire") {
         world.wait(base::seconds(2));
         CHECK(world.reported_in_flight() == 0);
     }
 }
 
-// An entry of another zone relies on this one to pass on what it says. The age that it gains on the
-// way goes along, since what waited then may have been read meanwhile.
-TEST_CASE("what entries of other zones say is passed on with its age", "[proxy]") {
+// An entry in another zone relies on this entry to relay its reports. The relayed report must
+// include the delay, since the engine may have read the queued tokens meanwhile.
+TEST_CASE("reports from other zones are relayed with their age", "[proxy]") {
     exchange_world world;
     world.at_sender().local_work = {3, 6000, 9000, 0};
     REQUIRE(world.send_report(true));
@@ -91,9 +91,9 @@
     CHECK_FALSE(world.receiving.collect(20).near);
 }
 
-// At the peak an engine reads what waits there within a tenth of a second. Counted for as long as
-// it takes to tell again, it drove prompts from the engines that had them cached.
-TEST_CASE("what others said waits is read meanwhile", "[proxy]") {
+// At peak an engine reads its queue within a tenth of a second. Counting the reported queue in full
+// until the next report drove prompts away from the engines that had them cached.
+TEST_CASE("reported unread tokens decrease with time", "[proxy]") {
     exchange_world world;
     world.at_sender().local_work = {1, 6000, 9000, 0};
     REQUIRE(world.send_report());
@@ -111,9 +111,9 @@
     CHECK(unread() == 700);
 }
 
-// The failure: an entry that stood still reads what others told meanwhile, takes them to be there
-// now, and gives out their part of the quotas besides its own.
-TEST_CASE("an entry is heard as of when it told, not of when that is read", "[proxy][quota]") {
+// Guards against an entry that was suspended, then reads old reports, takes their senders to be
+// alive now, and hands out their share of the quotas in addition to its own.
+TEST_CASE("a report counts from when it was sent, not from when it is read", "[proxy][quota]") {
     exchange_world world;
     const auto rules = proxy::quota_rules_of(world.receiver.entry().settings);
     routes::team team;
@@ -145,7 +145,7 @@
     }
     CHECK_FALSE(is_responsive());
 
-    SECTION("until it tells again") {
+    SECTION("responsive again after a new report") {
         world.send_report();
         world.wait(period);
         CHECK(is_responsive());
--- a/src/proxy/log_events_tests.cpp
+++ b/src/proxy/log_events_tests.cpp
@@ -14,7 +14,7 @@
 
 using schema = std::map<std::string, std::set<std::string>>;
 
-// The events of docs/LOGS.md with their fields.
+// Reads the events and their fields from docs/LOGS.md.
 schema read_schema() {
     std::ifstream page(CAMPHORRAIL_SOURCE_DIR "/docs/LOGS.md");
     schema events;
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("what an entry logs stands in the table of log events", "[proxy][log]") {
+TEST_CASE("every logged event and field is listed in docs/LOGS.md", "[proxy][log]") {
     const auto events = read_schema();
     REQUIRE(events.size() > 30);
     tests::proxy_world world;
--- a/src/proxy/peers.cpp
+++ b/src/proxy/peers.cpp
@@ -13,22 +13,25 @@
 
 using adapters::importance;
 
-// An entry that vanishes leaves the list after this long. Who is there is known by links; the list
-// only says whom to link to, and how many share the retry budget. Renewals cost a tenth of a call:
-// of 100 entries every 2.5 s, four calls a second, as much as following the store takes.
+// A dead entry's registration expires after this time. The registry only says whom to connect to
+// and how many entries share the retry budget; whether a peer is alive is known from its link. Each
+// renewal costs a tenth of a regular store call, so 100 entries renewing every 2.5 s would cost
+// four calls per second, as much as following the store.
 constexpr std::int64_t registration_lease_seconds = 16;
 constexpr base::milliseconds renewal_period{5000};
-// After a call for the list that failed.
+// Delay after a failed registration call.
 constexpr base::milliseconds registration_retry{2500};
 constexpr base::milliseconds connect_retry{700};
-// The entry that proves for all asks others when its own proofs fail: well above their period, well
-// below the age that ends service. The others ask all the time.
+// The entry that verifies the store's contents for all queries its peers only when its own calls
+// fail: well above the period of these calls, and well below the age at which requests are refused.
+// All other entries query their peers continuously.
 constexpr base::milliseconds query_age_when_verifying{1600};
 constexpr base::milliseconds query_age{600};
 constexpr base::milliseconds query_period{300};
-// An entry that answers no ask for this long is cut off too, or its link has fallen silent.
+// A peer that leaves a query unanswered for this long is itself cut off from the store, or its link
+// is dead; the link is dropped.
 constexpr base::milliseconds query_timeout{900};
-// A configuration of 350 routes beside a list of 2,000 upstreams is below 1 MB.
+// A configuration of 350 routes together with 2,000 listed upstreams stays below 1 MB.
 constexpr std::size_t max_message_bytes = 8U << 20U;
 
 ports::changes all_changes(const mirror::store_mirror& store) {
@@ -187,7 +190,7 @@
         connected.insert(peer.id);
     }
     for (const auto& [id, address] : this->registered_entries()) {
-        // One link a pair: the entry with the lower name connects.
+        // There is one link per pair of entries; the entry with the lower id connects.
         if (!(this->context.settings.id < id) || connected.count(id) > 0 ||
             now < this->next_connect_at[id]) {
             continue;
@@ -213,7 +216,7 @@
     const link_key key = ++this->last_link_key;
     this->links[key] = {link, std::move(id), {}, std::make_shared<base::sender_clock>(), false, 0,
                         {}};
-    // What is sent before a link stands is lost.
+    // Anything sent before the link is open would be lost.
     link->opened.connect([this, key] {
         const auto found = this->links.find(key);
         if (found != this->links.end()) {
@@ -234,7 +237,7 @@
     this->context.log.line(importance::keep, "entry_link_lost")
         .text("entry", dropped.id.value)
         .flag("stood", dropped.open);
-    // The link may be telling us this itself.
+    // The link may be the caller of this function, so it is closed from the event loop.
     this->context.loop.after(base::micros(0), [link = dropped.link] { link->close(); });
 }
 
@@ -280,7 +283,8 @@
     }
 }
 
-// Asks the entry ahead in line, and another one by turns for where that one knows nothing new.
+// Queries the entry ahead in the order of succession and one other peer in turn, in case the former
+// has nothing newer.
 void peers::query_store() {
     this->next_query = this->context.now() + query_period;
     this->drop_unresponsive();
@@ -294,7 +298,7 @@
             this->send_query(found->second);
         }
     }
-    // Once through all links, from the one after the last that was asked.
+    // Visits every link at most once, starting after the one that was queried last.
     auto next = this->links.upper_bound(this->last_queried);
     for (std::size_t seen = 0; seen < this->links.size(); ++seen) {
         next = next == this->links.end() ? this->links.begin() : next;
@@ -329,7 +333,7 @@
 }
 
 void peers::on_received(link_key key, std::string_view bytes) {
-    // A link that was given up still reads what had come by then.
+    // A dropped link still delivers what it had received before it was closed.
     if (this->links.count(key) == 0) {
         return;
     }
@@ -415,7 +419,7 @@
     if (this->store_changes_received(message)) {
         return;
     }
-    // Something before it was missed; whoever tells of it knows all.
+    // An earlier change was missed, so the sender, which has all of them, is queried.
     auto& from = this->links.at(key);
     if (from.query_id == 0) {
         this->send_query(from);
@@ -456,7 +460,8 @@
 
 void peers::apply_store_view(const peer_link& peer, const peering::store_view& view) {
     auto& store = this->context.state.store;
-    // The other end's proof was that old when it answered, so at least that old when we asked.
+    // The age was measured when the peer responded, so its verification is at least that old
+    // counted from the time of the query.
     const base::instant proved = peer.queried_at - view.age;
     const auto before = mirror::age(store, this->context.now());
     std::set<std::string> changed;
@@ -487,7 +492,7 @@
     ports::transaction change;
     change.writes = {{this->registration_prefix() + this->context.settings.id.value, "", true, 0}};
     this->platform.commit(change, [](const base::result<ports::commit_result>& /*done*/) {
-        // If it fails, the lease ends by itself.
+        // If the call fails, the registration expires with its lease.
     });
 }
 
--- a/src/proxy/peers.h
+++ b/src/proxy/peers.h
@@ -16,58 +16,61 @@
 
 namespace camphorrail::proxy {
 
-// The upstreams that have said that they leave, as another entry is told of them.
+// The drain announcements this entry knows of, ready to be sent to another entry.
 std::vector<peering::upstream_draining> collect_drain_reports(const entry_context& context);
 
-// Links to the other entries. Over them an entry that the store turns away stays up to date through
-// those it serves, and all learn at once what one of them has found out about an upstream.
+// Maintains the links to the other entries. An entry that the platform's store does not answer
+// stays up to date through the entries that still reach it, and what one entry finds out about an
+// upstream reaches all others at once.
 class peers {
 public:
     peers(entry_context& context, ports::platform platform);
 
     bool listen();
-    // Renews this entry's place on the list of entries, connects to new ones, and asks for the
-    // store's contents where our own proof grows old.
+    // Renews this entry's registration, connects to newly registered entries, and queries a peer
+    // for the store's contents when the local copy has gone unverified for too long.
     void tick();
     void broadcast(const peering::message& message);
-    // Asks for the store's contents at the next tick, whatever the age of our proof.
+    // Queries a peer for the store's contents at the next tick, however recently the local copy was
+    // verified.
     void query_soon() { this->query_wanted = true; }
-    // Leaves the list.
+    // Removes this entry's registration from the store.
     void deregister();
     [[nodiscard]] std::int64_t count() const;
-    // The entries that the platform lists, as quotas go by them.
+    // The registered entries, in the form in which quotas are divided among them.
     [[nodiscard]] quota::listed_entries listed_entries() const;
-    // Entries that a link stands to.
+    // The entries with an open link whose handshake has arrived.
     [[nodiscard]] std::vector<base::entry_id> connected_entries() const;
 
-    // Told what another entry said, once it is applied to the mirror where it tells of the store.
+    // Called with the changed keys after a peer's store view has been applied to the mirror.
     std::function<void(const std::set<std::string>&)> store_changed;
     std::function<void(const peering::loaded_weights&)> weights_changed;
-    // Told what another entry answers about when weights were named, and when it was asked.
+    // Called with a peer's dates of target weights and the time at which the peer was queried.
     std::function<void(const base::entry_id& from, const std::vector<peering::target_weights>&,
                        base::instant queried_at)>
         target_weights_received;
     std::function<void(const base::entry_id& from, const peering::kv_store_contents&)>
         kv_store_contents_received;
-    // Takes what an entry that follows the store tells of it; false where something before it was
-    // not heard of.
+    // Handles store changes from an entry that watches the store; returns false if an earlier
+    // change was missed.
     std::function<bool(const peering::store_changes&)> store_changes_received;
-    // Whether what was told is still being read; nobody is asked for it meanwhile.
+    // Whether a value named in a store update is still being read. No peer is queried for the store
+    // meanwhile.
     std::function<bool()> is_reading_store;
-    // Whether this entry proves the store's contents for all, and so needs others' proofs only when
-    // it fails to.
+    // Whether this entry verifies the store's contents on behalf of all others, and so needs their
+    // verifications only when its own calls fail.
     std::function<bool()> verifies_store;
-    // Told of crashed upstreams, and of requests that are held back for them, and when that was
-    // written.
+    // Called for crash reports and for quarantined requests, with the time at which the peer wrote
+    // the message.
     std::function<void(const base::entry_id& from, const peering::crash_report&,
                        base::instant written)>
         crash_report_received;
     std::function<void(const base::entry_id& from, const peering::quarantine_notice&,
                        base::instant written)>
         quarantine_notice_received;
-    // What a new link is told beside who we are.
+    // The messages sent on a new link after the handshake.
     std::function<std::vector<peering::message>()> initial_messages;
-    // The number of entries has changed.
+    // Called when the number of registered entries has changed.
     std::function<void()> count_changed;
 
 private:
@@ -75,18 +78,20 @@
         adapters::link_ptr link;
         base::entry_id id;
         base::availability_zone zone;
-        // Shared by the links to one life of an entry.
+        // Shared by all links to the same incarnation of an entry.
         std::shared_ptr<base::sender_clock> clock;
         bool open = false;
-        // The ask that is under way, and when it was sent.
+        // The store query awaiting a response, 0 if there is none, and when it was sent.
         std::int64_t query_id = 0;
         base::instant queried_at{};
     };
-    // Counts up, so that links are gone through in the order they were made. By address, the order
-    // of questions and news would hang on the memory's layout, and a day could not be played again.
+    // Increasing numbers, so that links are iterated in the order of their creation. Ordered by
+    // address, the order of queries and messages would depend on the memory layout, and a recorded
+    // day could not be replayed.
     using link_key = std::int64_t;
 
-    // The last life of another entry, and when what it sends is written.
+    // The latest incarnation of another entry, and the clock that estimates when its messages were
+    // sent.
     struct known_sender {
         std::int64_t incarnation = 0;
         std::shared_ptr<base::sender_clock> clock;
@@ -107,7 +112,7 @@
     void drop_link(link_key key);
     void on_received(link_key key, std::string_view bytes);
     void identify_peer(peer_link& peer, const peering::handshake& message);
-    // `written`: when the message was, however long it lay unread.
+    // `written` is the estimated time of sending, however long the message waited to be read.
     void handle(link_key key, const peering::handshake& message, base::instant written);
     void handle(link_key key, const peering::suspicion& message, base::instant written);
     void handle(link_key key, const peering::loaded_weights& message, base::instant written);
@@ -134,11 +139,12 @@
     base::instant next_registration{};
     base::instant next_query{};
     bool query_wanted = false;
-    // The link that was asked last; the next one is asked next.
+    // The link that was queried last; peers are queried in turn.
     link_key last_queried = 0;
     std::int64_t last_query_id = 0;
     std::int64_t last_count = 0;
-    // This entry's start, by which others tell when its messages were written.
+    // The start of this process. Each message carries the time since then, from which the receiver
+    // estimates when the message was sent.
     base::instant started_at;
     std::map<base::entry_id, known_sender> known_senders;
     load_exchange loads;
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -13,7 +13,7 @@
 const std::string other_address = tests::own_address(18993);
 constexpr std::size_t max_message_bytes = 1U << 20U;
 
-// A store that answers nothing.
+// A store that never responds.
 ports::platform unresponsive_store() {
     ports::platform store;
     store.commit = [](const ports::transaction&, auto) {};
@@ -22,7 +22,7 @@
     return store;
 }
 
-// An entry and one that it links itself to, which the test plays.
+// An entry that connects to a peer whose side of the link is played by the test.
 struct peer_world {
     tests::proxy_world world;
     proxy::peers others;
@@ -55,7 +55,7 @@
             });
     }
 
-    // The other entry tells something now, or had written it when it had been running that long.
+    // Sends a message from the peer, written now or after the peer had run for `uptime`.
     void send(peering::message payload) {
         this->send(std::move(payload), this->world.entry().now() - this->other_started);
     }
@@ -63,7 +63,7 @@
         this->other->send(peering::encode({std::move(payload), uptime}));
     }
 
-    // Lets time pass until a condition holds.
+    // Advances the clock and runs ticks until a condition holds.
     bool tick_until(const std::function<bool()>& condition) {
         return this->world.run_until([&] {
             this->world.move_clock(base::milliseconds(20));
@@ -75,23 +75,23 @@
 
 } // namespace
 
-// An entry gives a link up, as one whose other end has been silent or makes no sense. What that
-// other end has sent since is still read together with it. Taken for a link that stands, it ended
-// the process, and all callers of a hundred entries were cut off.
-TEST_CASE("what comes on a link that was given up is left", "[proxy]") {
+// A link is dropped because its peer is unresponsive or sends malformed data, but messages that had
+// already arrived are still delivered together. Handling them as if the link were known terminated
+// the process and cut off the clients of a hundred entries.
+TEST_CASE("messages that arrive on a dropped link are ignored", "[proxy]") {
     peer_world peer;
     REQUIRE(peer.tick_until([&] { return !peer.received_messages.empty(); }));
     peer.other->send("no message");
     peer.send(peering::load_report{});
     REQUIRE(peer.tick_until([&] { return peer.others.connected_entries().empty(); }));
-    // It links itself anew.
+    // The entry reconnects.
     CHECK(peer.tick_until([&] { return peer.received_messages.size() >= 2; }));
 }
 
-// An entry that has just started is linked to by some and links itself to others. Half of what it
-// was to be told at first, as what the stores of kept copies hold, was said before the link stood,
-// and so never sent: it went on for minutes with a fraction of what others know.
-TEST_CASE("both ends of a new link are greeted", "[proxy]") {
+// A newly started entry accepts some links and opens others. The initial messages, such as the
+// contents of the KV cache stores, used to be sent before half of these links were open and were
+// lost, so the entry worked for minutes with a fraction of what its peers knew.
+TEST_CASE("both ends of a new link receive the initial messages", "[proxy]") {
     peer_world peer;
     peer.others.initial_messages = [] {
         return std::vector<peering::message>{
@@ -111,9 +111,10 @@
     CHECK(peer.tick_until([&] { return got_initial_messages(reports); }));
 }
 
-// What one entry sees of an upstream may be the fault of its own network, so the others try the
-// rest first, and still send there rather than refuse. One that changes weights takes nothing.
-TEST_CASE("another entry's suspicion holds nothing up where no other upstream is left", "[proxy]") {
+// A failure seen by one entry may be due to its own network, so other entries prefer other
+// upstreams but still send to the suspected one rather than refuse. An upstream that is changing
+// weights gets nothing new.
+TEST_CASE("an upstream suspected by another entry still serves if no other is left", "[proxy]") {
     peer_world peer;
     peer.world.add_engine("service", [](const auto&) { return tests::engine_script{}; });
     REQUIRE(peer.tick_until([&] { return peer.other && !peer.received_messages.empty(); }));
@@ -135,10 +136,10 @@
     CHECK_FALSE(proxy::choose_upstream(peer.world.entry(), {.pool = service.listed.pool}));
 }
 
-// An entry that has not yet heard of an engine's new start goes on telling of the life before: what
-// it has under way there, what it caches, that it fails. None of that may be believed of the new
-// life, or callers would be kept from an engine that is idle, and prompts fetched that it has lost.
-TEST_CASE("what other entries say of an upstream's earlier life is left", "[proxy]") {
+// An entry that does not know yet of an engine's restart goes on reporting in-flight work, cached
+// prompts and failures of the previous incarnation. Applied to the new one, they would keep
+// requests from an idle engine and fetch prompts that it has lost.
+TEST_CASE("reports about an upstream's previous incarnation are ignored", "[proxy]") {
     peer_world peer;
     peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     auto& engine = peer.world.state.fleet.members.at({"engine"});
@@ -190,7 +191,7 @@
 const base::upstream_instance second_engine{{"e2"}, {1}};
 constexpr base::milliseconds sent_before{100};
 
-// An entry that links itself to one that then tells of crashes. The clock stands.
+// An entry whose peer reports crashes. The clock moves only when the test moves it.
 struct crash_world : peer_world {
     int reports_received = 0;
 
@@ -219,7 +220,7 @@
         }));
     }
 
-    // Whether what was sent has been read, by an answer to a question behind it.
+    // Whether everything sent so far has been read, shown by the response to a query sent after it.
     bool all_messages_read() {
         const auto before = this->received_messages.size();
         this->send(peering::store_query{1, 0});
@@ -227,7 +228,7 @@
             [this, before] { return this->received_messages.size() > before; });
     }
 
-    // Something written now is read that much later.
+    // Sends a message written now that is read only after `delay`.
     void send_delayed(const peering::message& message, base::micros delay) {
         const base::micros uptime = this->world.entry().now() - this->other_started;
         this->world.move_clock(delay);
@@ -235,7 +236,7 @@
         REQUIRE(this->all_messages_read());
     }
 
-    // A request is lost with an engine now.
+    // A crash of an engine right now, with one request in flight.
     [[nodiscard]] quarantine::crash_report loss(const base::upstream_instance& of,
                                                 const std::string& body) {
         const base::instant now = this->world.entry().now();
@@ -265,8 +266,9 @@
 
 } // namespace
 
-// Guards against holding a harmless request for engines lost together, one of them told of late.
-TEST_CASE("a crash that is told late happened no later", "[proxy][quarantine]") {
+// Guards against quarantining a harmless request for engines that were lost together, when the
+// report of one crash arrives late.
+TEST_CASE("a crash reported late keeps its original time", "[proxy][quarantine]") {
     const auto delay = GENERATE(values<base::milliseconds::rep>({0, 40, 60, 100, 200, 1000, 5000}));
     CAPTURE(delay);
     crash_world peer;
@@ -276,8 +278,9 @@
     CHECK(peer.count_quarantined_later() == 0);
 }
 
-// Guards against not holding a fatal request that is told of after others at the same crash.
-TEST_CASE("a copy that is told of late was sent no later", "[proxy][quarantine]") {
+// Guards against failing to quarantine a fatal request that is reported after other requests of the
+// same crash.
+TEST_CASE("a request copy reported late keeps its original send time", "[proxy][quarantine]") {
     const auto delay = GENERATE(values<base::milliseconds::rep>({0, 40, 200, 1000, 5000}));
     CAPTURE(delay);
     crash_world peer;
@@ -289,26 +292,27 @@
     CHECK(peer.count_quarantined_later() == 1);
 }
 
-// Guards against shunned engines and refused requests for as long again as a word lay unread.
-TEST_CASE("what another entry tells for a while holds from when it was written", "[proxy]") {
+// Guards against suspicions and quarantines that last longer by the time their message waited to be
+// read.
+TEST_CASE("durations sent by another entry count from when the message was written", "[proxy]") {
     crash_world peer;
     peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     const auto& engine = peer.world.state.fleet.members.at({"engine"});
     const base::instant written = peer.world.entry().now();
     constexpr base::milliseconds delay{800};
 
-    SECTION("a suspicion") {
+    SECTION("suspicion") {
         peer.send_delayed(
             peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "unreachable", false},
             delay);
         CHECK(engine.suspected_until == written + base::milliseconds(1000));
     }
-    SECTION("a change of weights") {
+    SECTION("weight change") {
         peer.send_delayed(
             peering::suspicion{{{"engine"}, {}}, base::milliseconds(1000), "loading", true}, delay);
         CHECK(engine.weights_change_until == written + base::milliseconds(1000));
     }
-    SECTION("a hold") {
+    SECTION("quarantine") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
         peer.send_delayed(peering::quarantine_notice{request, base::minutes(1)}, delay);
         const auto held =
@@ -316,7 +320,7 @@
         REQUIRE(held.size() == 1);
         CHECK(held[0].span == base::minutes(1) - delay);
     }
-    SECTION("a hold that has ended meanwhile") {
+    SECTION("quarantine that expired before it was read") {
         const auto request = quarantine::identify({"/safe/x", "north", "fatal"});
         peer.send_delayed(peering::quarantine_notice{request, base::milliseconds(500)}, delay);
         REQUIRE(peer.reports_received == 1);
@@ -326,8 +330,8 @@
     }
 }
 
-// Guards against requests to an upstream that has long left, at each entry that links anew.
-TEST_CASE("an upstream leaves from when it said so, wherever that is told", "[proxy][words]") {
+// Guards against sending requests to an upstream that left long ago, each time an entry connects.
+TEST_CASE("a drain report relayed to another entry keeps its original time", "[proxy][words]") {
     const auto delay = GENERATE(values<base::milliseconds::rep>({0, 800, 5000}));
     CAPTURE(delay);
     crash_world peer;
@@ -351,8 +355,9 @@
                                           proxy::fleet_rules_of(peer.world.entry().settings)));
 }
 
-// Guards against words dated by an earlier life of their entry, or by when a new link was read.
-TEST_CASE("what comes on a new link is dated by the life of its entry", "[proxy]") {
+// Guards against dating a message by the clock of the sender's previous incarnation, or by when the
+// new link was read.
+TEST_CASE("messages on a new link are dated by the sender's incarnation", "[proxy]") {
     crash_world peer;
     peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
     const auto& engine = peer.world.state.fleet.members.at({"engine"});
@@ -364,7 +369,7 @@
     const bool is_new_incarnation = GENERATE(true, false);
     CAPTURE(is_new_incarnation);
     if (is_new_incarnation) {
-        // By now it has been running for longer than it had when it was last heard.
+        // Its uptime is by now longer than that of the previous incarnation at its last message.
         peer.other_started = peer.world.entry().now() - base::seconds(30);
         peer.send_handshake(2);
     }
@@ -378,9 +383,10 @@
     CHECK(engine.suspected_until == written + base::milliseconds(1000));
 }
 
-// Guards against requests on outdated weights at an entry that has just started, which can't know
-// how long they have been outdated: another entry's answer may lie unread while it stands still.
-TEST_CASE("the age of weights that another entry tells counts from the question", "[proxy]") {
+// Guards against starting requests on outdated weights at a new entry, which can't know by itself
+// how long they have been outdated: a peer's response may wait unread while the process is
+// suspended.
+TEST_CASE("the age of target weights reported by a peer counts from the query", "[proxy]") {
     peer_world peer;
     peer.world.stop_clock();
     peer.world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
@@ -410,15 +416,15 @@
     CHECK(proxy::outdated_since(history, 1) <= queried_by - base::seconds(1));
     CHECK(proxy::outdated_since(history, 1) > queried_by - base::seconds(2));
 
-    SECTION("and nobody is asked any more once it is known closely") {
+    SECTION("no further queries once the date is precise") {
         history.targets.at(2).learned_at = *proxy::latest_set_after(history.targets.at(2));
         CHECK_FALSE(proxy::needs_target_dates(peer.world.entry()));
     }
 }
 
-// Guards against prompts that are refused for seconds since an entry that knows when weights were
-// named does not say so.
-TEST_CASE("an entry tells when weights were named", "[proxy]") {
+// Guards against refusing prompts for seconds because an entry that knows when weights were set
+// does not report it.
+TEST_CASE("an entry reports when target weights were set", "[proxy]") {
     peer_world peer;
     peer.world.stop_clock();
     const base::model_id model{"desk-8b"};
@@ -432,7 +438,7 @@
     CHECK(reports[0].age == base::seconds(3));
     CHECK_FALSE(reports[1].age);
 
-    SECTION("and nothing once that is long ago") {
+    SECTION("nothing is reported once that is long ago") {
         peer.world.move_clock(proxy::max_outdated_weights_age(peer.world.entry().settings) +
                               base::seconds(1));
         CHECK(proxy::target_weights_to_report(peer.world.entry()).empty());
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -19,9 +19,9 @@
 
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
-// Log lines reach their reader within this time.
+// Also the longest time for which log lines are buffered.
 constexpr base::milliseconds tick_period{100};
-// What is left of the grace period for the process to end in.
+// Part of the grace period reserved for the process to exit.
 constexpr base::milliseconds exit_margin{700};
 
 std::string read_file(const std::string& file) {
@@ -250,7 +250,7 @@
     if (decided_here) {
         this->quarantine_store.add(quarantined);
     }
-    // Those that are called off end, and leave the list.
+    // A copy, since cancelled requests end and remove themselves from the map.
     const auto in_flight = this->flows;
     for (const auto& [number, flow] : in_flight) {
         flow->cancel_if_quarantined(quarantined);
@@ -258,7 +258,7 @@
 }
 
 bool proxy::ready() const {
-    // A list entry may name a pool that no configuration knows.
+    // The platform's list may name a pool that the configuration does not contain.
     const auto& members = this->state.fleet.members;
     return !this->state.stopping && is_config_fresh(this->context) &&
            std::any_of(members.begin(), members.end(), [this](const auto& each) {
@@ -342,7 +342,7 @@
     if (!succeeded) {
         return;
     }
-    // Addresses stay as they are: changing them would cut requests under way.
+    // Addresses are not reloaded, because changing them would cut off requests in flight.
     this->settings.bounds = fresh->bounds;
     this->set_retry_budgets();
 }
@@ -382,8 +382,8 @@
             this->frontend->stop();
             break;
         case shutdown_step::resign:
-            // An entry that leads goes on doing so until now: in a rolling restart the next one is
-            // stopped soon too.
+            // A leader keeps its leadership until this point, because in a rolling restart the next
+            // one is stopped soon as well.
             this->leader.resign();
             this->loop.after(rules.resign_time, [this] { this->continue_shutdown(); });
             break;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -27,7 +27,7 @@
 
 namespace camphorrail::proxy {
 
-// What the daemon is given of the platform it runs on.
+// The platform-specific parts passed to the daemon.
 struct proxy_platform {
     ports::platform_codec codec;
     std::function<ports::platform(event_base*, const std::string& address,
@@ -35,26 +35,26 @@
         make_store;
 };
 
-// `camphorrail proxy`: an entry that sends callers' requests straight to the upstreams.
+// `camphorrail proxy`: an entry that forwards client requests directly to the upstreams.
 class proxy {
 public:
-    // `settings_file` is read again on SIGHUP and when it changes.
+    // `settings_file` is reloaded on SIGHUP and when it changes.
     proxy(settings::proxy_settings settings, std::string settings_file, proxy_platform platform);
 
-    // Runs until stopped; the exit code.
+    // Runs until stopped and returns the exit code.
     int run();
 
 private:
     [[nodiscard]] bool listen();
     void connect_parts();
     void connect_quarantine();
-    // What an entry is told that has just linked.
+    // The messages sent to a newly connected entry.
     [[nodiscard]] std::vector<peering::message> initial_messages() const;
     void log_deferred_call(adapters::platform_call kind, base::micros wait);
     void on_request(const exchange_ptr& exchange);
-    // `told_by`: who brought the news, for the log.
+    // `source` is logged as the origin of the change.
     void on_store_change(const std::set<std::string>& keys, const char* source);
-    // More is known of when weights were named.
+    // Updates deadlines that depend on when target weights were set.
     void renew_begin_deadlines();
     void apply_config();
     void prune_prompt_sizes();
@@ -63,7 +63,8 @@
     void on_quarantine_started(const quarantine::quarantined_request& quarantined,
                                bool decided_here);
     void set_retry_budgets();
-    // Takes who is listed and who is heard, which decides what of the quotas entries may give out.
+    // Updates the registered and the responsive entries, which determine how much of the quotas
+    // each may grant.
     void update_quota_entries();
     void refresh_quota_metrics();
     void tick();
@@ -103,13 +104,13 @@
     std::unique_ptr<frontend_server> frontend;
     std::unique_ptr<adapters::http_server> balancer;
     std::unique_ptr<adapters::http_server> operators;
-    // By number, so that they are gone through in the order of their arrival.
+    // Keyed by increasing numbers, so that requests are iterated in the order of their arrival.
     std::map<std::int64_t, std::shared_ptr<request_flow>> flows;
     std::int64_t last_flow = 0;
     shutdown_state shutdown;
     bool was_ready = false;
     accept_log_state accepting;
-    // Entries of the platform's list that could not be read, as last logged.
+    // Malformed items of the platform's list and their revisions, as last logged.
     std::map<base::upstream_id, std::int64_t> unreadable_upstreams;
     // Listed upstreams whose address another one has taken, as last logged.
     std::map<base::upstream_id, base::upstream_id> replaced_upstreams;
--- a/src/proxy/proxy_status.cpp
+++ b/src/proxy/proxy_status.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-// What operators are shown of an entry.
+// The status document and metrics for operators.
 namespace camphorrail::proxy {
 
 nlohmann::json proxy::status() const {
--- a/src/proxy/proxy_store_updates.cpp
+++ b/src/proxy/proxy_store_updates.cpp
@@ -6,15 +6,15 @@
 #include <algorithm>
 #include <set>
 
-// What an entry makes of news of the platform's store.
+// Applies changes of the platform's store to the state of an entry.
 namespace camphorrail::proxy {
 
 namespace {
 
 using adapters::importance;
 
-// Part of the shared retry budget that the entries use together. The rest is for entries that start
-// or vanish meanwhile, and for calls that are counted late.
+// Part of the shared retry budget that the entries use together. The rest is a reserve for entries
+// that start or vanish meanwhile and for calls that are counted late.
 constexpr double retry_share = 0.7;
 
 } // namespace
@@ -54,7 +54,8 @@
     }
     auto read = this->platform.codec.parse_config(found->second.value);
     if (!read.has_value()) {
-        // The one in force stays: half a configuration would refuse callers that are allowed.
+        // The current configuration stays in force; half a configuration would refuse authorized
+        // clients.
         this->log.line(importance::keep, "config_unreadable")
             .text("code", base::describe(base::to_code(read.error())).name)
             .number("revision", found->second.mod_revision);
@@ -119,7 +120,7 @@
     const auto change = fleet::apply_list(this->state.fleet, list.upstreams, this->context.now());
     for (const auto& [id, revision] : list.unreadable) {
         fleet::mark_replaced(this->state.fleet, id);
-        // Said once for each entry that can't be read, however often the list is read again.
+        // Logged once per malformed item and revision, however often the list is read again.
         if (const auto logged = this->unreadable_upstreams.find(id);
             logged == this->unreadable_upstreams.end() || logged->second != revision) {
             this->log.line(importance::keep, "upstream_unreadable")
--- a/src/proxy/quarantine_records.cpp
+++ b/src/proxy/quarantine_records.cpp
@@ -13,7 +13,8 @@
 using nlohmann::json;
 
 constexpr base::milliseconds call_pause{1000};
-// The platform's store is shared. More requests than this are held back by the entries alone.
+// Limit on recorded requests, since the platform's store is shared. Further ones are only exchanged
+// between the entries.
 constexpr std::size_t max_records = 64;
 
 std::string encode_record(const quarantine::quarantined_request& quarantined) {
@@ -125,7 +126,7 @@
         this->call_pending = false;
         this->next_call = this->context.now() + call_pause;
         if (done.has_value()) {
-            // Where another entry was first, its record says the same.
+            // If another entry wrote first, its record says the same.
             this->unwritten.erase(digest);
         }
     });
--- a/src/proxy/quarantine_records.h
+++ b/src/proxy/quarantine_records.h
@@ -10,18 +10,18 @@
 
 namespace camphorrail::proxy {
 
-// Writes down in the platform's store which requests are held back, so that entries know it that
-// start later, or all at once. Each key is written once for all entries, and erased by the leader
-// when its time is over.
+// Records quarantined requests in the platform's store, so that entries that start later, or all at
+// once, know of them. One entry writes each key on behalf of all, and the leader deletes it when
+// the quarantine has expired.
 class quarantine_records {
 public:
-    // `leads`: whether this entry is the leader.
+    // `is_leader` returns whether this entry is the leader.
     quarantine_records(entry_context& context, ports::platform platform,
                        std::function<bool()> is_leader);
 
-    // Has a hold written down, now or when the store answers again.
+    // Records a quarantined request, now or once the store is reachable again.
     void add(const quarantine::quarantined_request& quarantined);
-    // The holds among keys that have changed in the mirror.
+    // Returns the quarantined requests recorded under the given changed keys of the mirror.
     [[nodiscard]] std::vector<quarantine::quarantined_request>
     read(const std::set<std::string>& keys) const;
     void tick();
--- a/src/proxy/quarantine_records_tests.cpp
+++ b/src/proxy/quarantine_records_tests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A store that keeps what is written, and may be away.
+// A store that applies writes to the mirror and can be made unavailable.
 struct fake_store {
     mirror::store_mirror& mirror;
     bool unavailable = false;
@@ -59,9 +59,9 @@
 
 } // namespace
 
-// The failure: all entries start again, know nothing of a fatal request, and it crashes upstreams
-// anew.
-TEST_CASE("a hold stands in the store for entries that start later", "[proxy][quarantine]") {
+// Guards against a fatal request that crashes upstreams again after all entries have restarted.
+TEST_CASE("a quarantine is recorded in the store for entries that start later",
+          "[proxy][quarantine]") {
     tests::proxy_world world;
     fake_store store{world.state.store};
     bool is_leader = false;
@@ -77,12 +77,12 @@
     CHECK(written[0].span == fatal.span);
     CHECK(written[0].crashes == 2);
 
-    SECTION("written once, whoever decides it too") {
+    SECTION("it is written only once") {
         world.move_clock(base::seconds(2));
         records.add(fatal);
         CHECK(store.calls == 1);
     }
-    SECTION("until the leader erases it when its time is over") {
+    SECTION("the leader deletes it after its expiry") {
         world.move_clock(base::minutes(11));
         quarantine::expire(world.state.quarantine, world.entry().now(), {});
         records.tick();
@@ -91,7 +91,7 @@
         records.tick();
         CHECK(records.read(all_keys(world)).empty());
     }
-    SECTION("and a record that makes no sense is passed over") {
+    SECTION("malformed records are ignored") {
         const auto& key = world.state.store.items.begin()->first;
         const std::string text = GENERATE(as<std::string>{}, "", "no JSON", "[]", "{}",
                                           R"({"body_bytes":-1,"hold_ms":1,"crashes":1})",
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("a hold is written down once the store is back", "[proxy][quarantine]") {
+TEST_CASE("a quarantine is recorded once the store is reachable again", "[proxy][quarantine]") {
     tests::proxy_world world;
     fake_store store{world.state.store};
     proxy::quarantine_records records(world.entry(), store.calls_to(), [] { return false; });
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -8,16 +8,17 @@
 
 using adapters::importance;
 
-// The longest that the store lets a watch wait is 30 s.
+// The store limits a watch to 30 s.
 constexpr base::milliseconds watch_wait{20000};
-// A configuration of 70 teams takes 50 KB. Told by three entries to nineteen each, three of them in
-// a row filled links of 10 Mbit/s for two seconds.
+// Larger values are named but not included in a broadcast. A configuration of 70 teams takes 50 KB;
+// sent by three entries to nineteen each, three of them in a row filled 10 Mbit/s links for two
+// seconds.
 constexpr std::size_t max_inline_bytes = 4096;
-// The store takes no more in one transaction.
+// The store's limit per transaction.
 constexpr std::size_t max_preconditions = 32;
-// The store takes no longer keys.
+// The store's limit on the length of a key.
 constexpr std::size_t max_key_bytes = 200;
-// Everything below the empty prefix.
+// The empty prefix matches every key.
 const std::string all_keys;
 
 } // namespace
@@ -74,9 +75,10 @@
     }
 }
 
-// All that is newer than the revision before, and not only what was news here: a large value that
-// this entry has read itself may be newer than its mirror's revision. Left out, others would take
-// the later revision for theirs without it, and serve by an old configuration.
+// Broadcasts everything newer than the previous revision, even if it was already known here: this
+// entry may have read a large value that is newer than the mirror's revision. If it were left out,
+// the other entries would adopt the new revision without that value and keep serving an old
+// configuration.
 void store_follower::broadcast_changes(std::int64_t revision_before) const {
     auto since = mirror::changes_since(this->context.state.store, revision_before);
     if (!since || since->revision == revision_before) {
@@ -146,7 +148,7 @@
     if (config != items.end()) {
         expect(config->second);
     } else {
-        // Before the first configuration its absence is what is proved.
+        // Until a first configuration exists, its absence is what is verified.
         check.preconditions.push_back({this->context.codec.operators_config_key, 0});
     }
     for (const auto& item : mirror::items_with_prefix(this->context.state.store,
@@ -161,15 +163,16 @@
     return check;
 }
 
-// The keys, missing so far, at which weights would be named for the models that upstreams hold.
-// With proofs that leave them out, an entry whose watch has fallen silent would pass for up to
-// date, and begin requests on weights that have been outdated for long.
+// Returns the keys, absent so far, that would hold the target weights of models served by listed
+// upstreams. If the check left them out, an entry whose watch is cut off would seem up to date and
+// start requests on weights that have long been outdated.
 std::set<std::string> store_follower::missing_target_keys() const {
     std::set<std::string> keys;
     for (const auto& [id, member] : this->context.state.fleet.members) {
         for (const auto& [model, version] : member.listed.models) {
             const std::string key = this->context.codec.target_weights_prefix + model.value;
-            // The names come from upstreams, and one that no key can hold must fail no proof.
+            // Model names come from upstreams, so a name too long for a key must not make the whole
+            // transaction fail.
             const bool fits_key = key.size() <= max_key_bytes;
             if (fits_key && this->context.state.store.items.count(key) == 0) {
                 keys.insert(key);
--- a/src/proxy/store_follower.h
+++ b/src/proxy/store_follower.h
@@ -11,31 +11,32 @@
 
 namespace camphorrail::proxy {
 
-// The duty whose line says who follows the store; see entries/line_up.h.
+// Name of the duty that determines which entries follow the store; see entries/duty_ranking.h.
 inline const std::string store_duty_name = "store";
 
-// Keeps the entry's mirror of the platform's store: one long watch tells of changes, and a cheap
-// conditional read proves, about once a second, that nothing was missed. A quiet watch is no proof:
-// it may be cut off without a sign, and the store may drop history that it has not told.
+// Keeps this entry's mirror of the platform's store current. A long-polling watch delivers changes,
+// and a cheap conditional transaction verifies about once per second that nothing was missed. A
+// silent watch proves nothing: it may have been cut off unnoticed, and the store may compact
+// history that it has not delivered.
 //
-// A few entries do so and tell the others, which ask them for proofs; `entries/store_sync.h` says
-// which, and how often. An entry that gets no proof from the others follows the store itself, so
-// none depends on them.
+// Only a few entries do this and broadcast the changes; the others query them for verifications.
+// `entries/store_sync.h` decides which entries do so and how often. An entry that gets no
+// verification from its peers follows the store itself, so it does not depend on them.
 class store_follower {
 public:
     store_follower(entry_context& context, ports::platform platform);
 
     void start();
-    // Makes the calls to the store that are due.
+    // Makes the store calls that are due.
     void tick();
-    // Entries that a link stands to; to be set before the start.
+    // Returns the connected entries; must be set before `start()`.
     std::function<std::vector<base::entry_id>()> connected_entries;
-    // Tells them what has changed; to be set before the start.
+    // Sends changes to all connected entries; must be set before `start()`.
     std::function<void(const peering::store_changes&)> broadcast;
-    // Whether this entry is the one that proves the store's contents for all it is linked to.
+    // Whether this entry verifies the store's contents for all connected entries.
     [[nodiscard]] bool is_verifier() const;
 
-    // Told after the mirror has changed, with the keys.
+    // Called with the changed keys after the mirror has been updated.
     std::function<void(const std::set<std::string>&)> changed;
 
 private:
@@ -54,7 +55,8 @@
     ports::platform platform;
     entries::store_sync duty;
     entries::store_sync_rules rules;
-    // Watches of an earlier generation have been given up; what they still tell is late, not wrong.
+    // Watches of earlier generations have been abandoned. Their changes are still applied, since
+    // they are late but correct.
     std::int64_t watch_generation = 0;
     bool reachable = false;
 };
--- a/src/proxy/store_follower_tests.cpp
+++ b/src/proxy/store_follower_tests.cpp
@@ -7,11 +7,11 @@
 
 using namespace camphorrail;
 
-// An entry that follows the store has read a large value that is newer than its mirror's revision,
-// on another entry's word. The watch then tells of that value, which is no news here, together with
-// a later change. Told of the later change alone, the others would take its revision for theirs
-// without ever having the value: they refused callers of a new route for good.
-TEST_CASE("others are told all that is newer than before, also what was no news here", "[proxy]") {
+// A follower has read a large value newer than its mirror's revision because a peer named it. The
+// watch then delivers that value, which changes nothing here, together with a later change. When
+// only the later change was broadcast, peers adopted its revision without ever having the value,
+// and refused clients of a new route for good.
+TEST_CASE("a broadcast includes all newer values, even those already known here", "[proxy]") {
     tests::proxy_world world;
     auto& store = world.state.store;
     store.items["config"] = {"config", "c", 12};
@@ -52,10 +52,9 @@
     CHECK(keys == std::set<std::string>{"config", "late"});
 }
 
-// Guards against a version of weights that is dated too late where it is the first one named for
-// its model: its key was missing, so proofs that compare the known keys go on succeeding without
-// it.
-TEST_CASE("a proof that knows nothing of a new key does not date it", "[proxy]") {
+// Guards against dating the first target version of a model too late: its key was absent, so
+// verifications that compare only the known keys keep succeeding.
+TEST_CASE("a verification without a new key does not date that key", "[proxy]") {
     tests::proxy_world world;
     world.stop_clock();
     std::int64_t revision = 10;
@@ -65,7 +64,7 @@
     platform.commit = [&](const ports::transaction&, auto done) {
         done(ports::commit_result{true, revision});
     };
-    // It has fallen silent.
+    // The watch is silent.
     platform.watch = [](const std::string&, std::int64_t, base::milliseconds, auto) {};
     proxy::store_follower follower(world.entry(), platform);
     follower.connected_entries = [] { return std::vector<base::entry_id>{}; };
@@ -93,9 +92,9 @@
     CHECK(*dated >= named_at - base::seconds(2));
 }
 
-// Guards against requests that begin on outdated weights at an entry that passes for up to date: it
-// has not heard of the first version that was named for a model, and its proofs go on.
-TEST_CASE("a proof fails once weights are named for a model that had none", "[proxy]") {
+// Guards against starting requests on outdated weights at an entry that seems up to date: it has
+// missed the first target version of a model, and its verifications keep succeeding.
+TEST_CASE("a verification fails once a model gets its first target weights", "[proxy]") {
     tests::proxy_world world;
     world.stop_clock();
     world.add_engine("engine", [](const auto&) { return tests::engine_script{}; });
@@ -120,7 +119,7 @@
         ++proofs;
         done(ports::commit_result{holds, named ? 11 : 10});
     };
-    // It has fallen silent.
+    // The watch is silent.
     platform.watch = [](const std::string&, std::int64_t, base::milliseconds, auto) {};
     proxy::store_follower follower(world.entry(), platform);
     follower.connected_entries = [] { return std::vector<base::entry_id>{}; };
@@ -138,7 +137,7 @@
     REQUIRE(world.state.store.verified_at >= named_at - base::seconds(2));
     named = true;
     const auto& store = world.state.store;
-    // The store would refuse each proof with a longer one.
+    // The store would reject every transaction with a longer key.
     CHECK(longest_key <= 200);
     while (store.items.count(key) == 0) {
         CHECK(store.verified_at <= named_at);
--- a/src/proxy/store_updates.cpp
+++ b/src/proxy/store_updates.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-// A read that may be old is asked for so often before the newest, which costs ten times as much.
+// Number of stale reads before the first linearizable one, which costs ten times as much.
 constexpr int stale_attempts = 3;
 constexpr int max_attempts = 5;
 constexpr base::milliseconds attempt_pause{150};
-// Told meanwhile; beyond this an entry asks another one for all.
+// Broadcasts kept while a value is being read. Those beyond this limit are dropped, and the entry
+// recovers by querying a peer.
 constexpr std::size_t max_pending = 64;
 
 } // namespace
@@ -44,9 +45,10 @@
     return outcome::reading;
 }
 
-// Takes what was told with its value, and not the revision, up to which something is still missing.
-// Behind a large value, an upstream's leaving came so late that requests went there beyond the
-// bound. Items may always be newer than the mirror's revision.
+// Applies the included values without advancing the mirror's revision, since larger values are
+// still missing. When an upstream's departure had to wait behind a large value, it took effect so
+// late that requests were sent there beyond the drain bound. Single items may always be newer than
+// the mirror's revision.
 void store_updates::apply_inline(const peering::store_changes& message) {
     peering::store_changes small;
     for (const auto& each : message.changes.items) {
@@ -113,7 +115,7 @@
 void store_updates::apply_pending() {
     const auto message = std::exchange(this->pending, {});
     for (const auto& each : message) {
-        // One that needs a read of its own makes the rest wait again.
+        // A broadcast that needs a read of its own makes the rest wait again.
         this->receive(each);
     }
 }
--- a/src/proxy/store_updates.h
+++ b/src/proxy/store_updates.h
@@ -11,24 +11,27 @@
 
 namespace camphorrail::proxy {
 
-// Takes into the mirror what entries that follow the platform's store tell of it.
+// Applies the store changes broadcast by entries that watch the platform's store to the local
+// mirror.
 //
-// A large value, as a configuration of many teams, is named and not told: its few tellers would
-// fill their links with it. Each entry reads such a key itself, by a read that may be old and costs
-// a tenth, and asks again where what came is older than what was told.
+// A large value, such as a configuration of many teams, is named but not included, since it would
+// fill the links of the few entries that broadcast it. Each entry reads such a key from the store
+// itself, first by stale reads at a tenth of the cost, and repeats the read if the result is older
+// than the announced revision.
 class store_updates {
 public:
     store_updates(entry_context& context, ports::platform platform);
 
     enum class outcome { applied, reading, gap };
-    // `missed`: something before it was not heard of, so it could not be taken.
+    // Applies a broadcast. Returns `gap`, without applying it, if an earlier change was missed.
     outcome receive(const peering::store_changes& message);
-    // A large value is being read. Until it is there, a whole view would bring it over a link.
+    // Whether a large value is being read. A complete store view requested meanwhile would transfer
+    // that value over a peer link.
     [[nodiscard]] bool is_reading() const { return this->current.has_value(); }
 
-    // Told after the mirror has changed, with the keys.
+    // Called with the changed keys after the mirror has been updated.
     std::function<void(const std::set<std::string>&)> changed;
-    // A large value could not be read; other entries are to be asked.
+    // Called if a large value could not be read, so that other entries are queried.
     std::function<void()> read_failed;
 
 private:
@@ -42,7 +45,7 @@
 
     entry_context& context;
     ports::platform platform;
-    // What waits for its large values, and what was told meanwhile.
+    // The broadcast whose large values are being read, and the ones received since.
     std::optional<peering::store_changes> current;
     std::deque<peering::store_changes> pending;
 };
--- a/src/proxy/store_updates_tests.cpp
+++ b/src/proxy/store_updates_tests.cpp
@@ -11,7 +11,7 @@
 
 using outcome = proxy::store_updates::outcome;
 
-// An entry that is told of the store, and a store that answers its reads when the test says.
+// An entry that receives store broadcasts, and a store whose reads complete when the test says so.
 struct updates_world {
     struct pending_read {
         std::string key;
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("small changes are taken as told", "[proxy]") {
+TEST_CASE("included values are applied directly", "[proxy]") {
     updates_world world;
     CHECK(world.updates.receive(inline_change(10, "a")) == outcome::applied);
     CHECK(world.value_of("a") == "small");
@@ -72,10 +72,10 @@
     CHECK(world.value_of("b").empty());
 }
 
-// The operators write a configuration of many teams, and right after it something small. An entry
-// that took the later change without the large one would count itself up to date and serve by the
-// old configuration for good.
-TEST_CASE("a large value is read by each entry itself, and what follows waits for it", "[proxy]") {
+// Operators write a large configuration and then a small value. An entry that applied the later
+// change without the large value would consider itself up to date and keep serving the old
+// configuration.
+TEST_CASE("a large value is read from the store before the revision advances", "[proxy]") {
     updates_world world;
     CHECK(world.updates.receive(omitted_change(10, "config")) == outcome::reading);
     CHECK(world.updates.receive(inline_change(11, "b")) == outcome::reading);
@@ -83,7 +83,7 @@
     REQUIRE(world.pending_reads.size() == 1);
     CHECK(world.pending_reads.front().consistency == ports::read_consistency::stale_allowed);
 
-    SECTION("until it is there") {
+    SECTION("the value arrives") {
         world.answer(std::optional(ports::stored_value{"config", "much", 11}));
         CHECK(world.value_of("config") == "much");
         CHECK(world.value_of("b") == "small");
@@ -91,7 +91,7 @@
         CHECK(world.changed == std::set<std::string>{"b", "config"});
         CHECK_FALSE(world.updates.is_reading());
     }
-    SECTION("and is asked for again where what came is older than what was told") {
+    SECTION("an older value is read again") {
         for (int old = 0; old < 3; ++old) {
             world.answer(std::optional(ports::stored_value{"config", "old", 9}));
             CHECK(world.value_of("config").empty());
@@ -100,10 +100,11 @@
         CHECK(world.pending_reads.front().consistency == ports::read_consistency::linearizable);
         world.answer(std::optional(ports::stored_value{"config", "newer", 14}));
         CHECK(world.value_of("config") == "newer");
-        // What was told up to here; the newer item does not make the entry newer in all.
+        // The revision advances to that of the last broadcast; one newer item does not make the
+        // mirror newer.
         CHECK(world.world.state.store.revision == 12);
     }
-    SECTION("and other entries are asked where the store turns this one away") {
+    SECTION("other entries are queried if the store is unreachable") {
         world.answer(base::code::platform_unreachable);
         CHECK(world.read_failed == 1);
         CHECK_FALSE(world.updates.is_reading());
@@ -112,10 +113,10 @@
 }
 
 // An upstream leaves right after operators have written a large configuration. An entry that reads
-// it over a slow link, or from a store whose reads lag, hears of the leaving meanwhile. Kept until
-// the value is there, the news came a second and more late, and requests went to the upstream
-// beyond the bound that holds from the store's acknowledgement.
-TEST_CASE("an upstream's leaving does not wait for a large value", "[proxy]") {
+// the value over a slow link, or by stale reads, receives the departure meanwhile. When it was kept
+// until the value arrived, it took effect a second late, and requests were sent to the upstream
+// beyond the drain bound that counts from the store's acknowledgement.
+TEST_CASE("an upstream's departure does not wait for a large value", "[proxy]") {
     updates_world world;
     auto together = omitted_change(10, "config");
     together.changes.items.push_back({{"up/a", "leaving", 11}, false});
@@ -124,10 +125,10 @@
     CHECK(world.updates.receive(inline_change(11, "up/b")) == outcome::reading);
     CHECK(world.value_of("up/b") == "small");
     CHECK(world.changed == std::set<std::string>{"up/a", "up/b"});
-    // The entry does not know all up to there yet.
+    // The mirror is still incomplete up to the new revision.
     CHECK(world.world.state.store.revision == 10);
 
-    SECTION("also where that can't be read") {
+    SECTION("even if the large value can't be read") {
         world.answer(base::code::platform_unreachable);
         CHECK(world.value_of("up/b") == "small");
         CHECK(world.world.state.store.revision == 10);
--- a/src/proxy/target_weights.cpp
+++ b/src/proxy/target_weights.cpp
@@ -8,7 +8,7 @@
 
 using adapters::importance;
 
-// Stands in log lines for a span that is not known.
+// Logged in place of an unknown duration.
 constexpr base::milliseconds unknown_span{-1};
 
 base::micros logged_age(const std::optional<base::instant>& moment, base::instant now) {
@@ -20,12 +20,12 @@
     return found == history.targets.end() ? std::nullopt : latest_set_after(found->second);
 }
 
-// Whether a version was learned of so lately that it matters when it was named.
+// Whether a version was learned of so recently that its date still matters.
 bool has_recent_target(const entry_context& context, const weights_history& history) {
     return any_learned_within(history, context.now(), max_outdated_weights_age(context.settings));
 }
 
-// The oldest version of a model that a listed upstream holds; nothing where none holds any.
+// The oldest version of a model held by an available upstream; empty if none holds any.
 std::optional<std::int64_t> oldest_held(const entry_context& context, const base::model_id& model) {
     std::optional<std::int64_t> oldest;
     for (const auto& [id, member] : context.state.fleet.members) {
@@ -99,8 +99,8 @@
         if (!has_recent_target(context, history)) {
             continue;
         }
-        // All of them: who learns of the second of two newer versions alone would take the one
-        // before them to be outdated since the second.
+        // All versions are reported: a peer that learned only of the second of two newer versions
+        // would take the version before them to be outdated since the second.
         for (const auto& [version, seen] : history.targets) {
             const auto after = latest_set_after(seen);
             const auto age = after ? std::optional(now - *after) : std::nullopt;
--- a/src/proxy/target_weights.h
+++ b/src/proxy/target_weights.h
@@ -5,26 +5,25 @@
 
 #include <vector>
 
-// What an entry makes of news about which weights operators have named.
+// Updates an entry's view of the target weights set by operators.
 namespace camphorrail::proxy {
 
-// Reads the named weights from the mirror of the platform's store, after it has changed. `told_by`
-// says for the log who told of the change. True where more is known than before.
+// Reads the target weights from the mirror of the platform's store after it has changed. `source`
+// is logged as the origin of the change. Returns true if something new was learned.
 bool read_target_weights(entry_context& context, const char* source);
 
-// Takes what another entry answers about when weights were named. Its ages were true when it
-// answered, so they are counted from before it was asked, however long the answer has lain unread.
-// True where more is known than before.
+// Applies the ages of target weights from a peer's response. The ages were valid when the peer
+// responded, so they are counted from the time of the query, however long the response waited to be
+// read. Returns true if something new was learned.
 bool apply_reported_targets(entry_context& context, const base::entry_id& from,
                             const std::vector<peering::target_weights>& reports,
                             base::instant queried_at);
 
-// What another entry is told about when weights were named; nothing where that was so long ago that
-// it does not matter.
+// The ages of target weights to report to a peer; empty if all were set too long ago to matter.
 std::vector<peering::target_weights> target_weights_to_report(const entry_context& context);
 
-// Whether upstreams hold weights that are outdated for a time that is known so badly that other
-// entries are to be asked for it.
+// Whether upstreams hold outdated weights and the time since which they are outdated is known so
+// imprecisely that peers should be queried.
 bool needs_target_dates(const entry_context& context);
 
 } // namespace camphorrail::proxy
--- a/src/proxy/target_weights_tests.cpp
+++ b/src/proxy/target_weights_tests.cpp
@@ -10,7 +10,7 @@
 
 const base::model_id model{"desk-8b"};
 
-// An entry that learns of the platform's store as the test says, and of which weights are named.
+// An entry whose view of the platform's store and of target weights is driven by the test.
 struct target_world {
     tests::proxy_world world;
     std::int64_t revision = 10;
@@ -26,17 +26,17 @@
         return proxy::outdated_since(this->world.state.weights[model], version);
     }
 
-    // Reads the whole store, in which nothing is named yet.
+    // Reads the complete store, which holds no target weights yet.
     void read_all() {
         mirror::apply_snapshot(this->store(), {this->revision, {}}, this->now());
         this->mark_complete();
         proxy::read_target_weights(this->world.entry(), "store");
     }
 
-    // The store shows that nothing was missed.
+    // A read of the store shows that nothing was missed.
     void mark_complete() { mirror::record_revision(this->store(), this->revision, this->now()); }
 
-    // A watch tells of a named version.
+    // A watch delivers a new target version.
     void announce(std::int64_t version) {
         const std::string key = this->world.entry().codec.target_weights_prefix + model.value;
         const std::string value =
@@ -50,16 +50,17 @@
 
 } // namespace
 
-// Guards against requests on outdated weights beyond the bound after an entry stood still, or was
-// cut off, while newer ones were named.
-TEST_CASE("weights are outdated from when the newer ones can have been named", "[proxy]") {
+// Guards against starting requests on outdated weights beyond the bound after an entry was
+// suspended or cut off while newer weights were set.
+TEST_CASE("weights are outdated from the earliest time at which newer ones can have been set",
+          "[proxy]") {
     target_world entry;
     const auto last_complete = entry.now();
     entry.world.move_clock(base::seconds(5));
     entry.announce(2);
     CHECK(entry.outdated_since(1) == last_complete);
 
-    SECTION("also where a version in between was never heard of") {
+    SECTION("even if a version in between was missed") {
         const auto before = entry.now();
         entry.mark_complete();
         entry.world.move_clock(base::seconds(5));
--- a/src/proxy/weights_history.cpp
+++ b/src/proxy/weights_history.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-// Before the start of any VM: its clock begins at zero with it, and weights may have been named
+// Before the start of any VM: its clock starts at zero when it boots, and weights may have been set
 // before.
 constexpr base::instant distant_past{-std::chrono::hours(24 * 365)};
-// A date is imprecise where the version may have been named for longer before it was learned of. An
-// entry that asks others about the store each second comes closer.
+// A date is imprecise if the version may have been set longer than this before it was learned of.
+// An entry that queries peers for the store every second does better.
 constexpr base::seconds max_precise_gap{2};
-// Answers of the same view differ by the way that they take.
+// Responses based on the same view differ by their network delay, so smaller improvements are
+// ignored.
 constexpr base::milliseconds min_improvement{20};
 
 bool is_imprecise(const target_record& record) {
@@ -24,7 +25,7 @@
 } // namespace
 
 std::optional<base::instant> latest_set_after(const target_record& record) {
-    // Nothing compares as less than any moment.
+    // An empty optional compares less than any time.
     return std::max(record.set_after, record.reported_set_after);
 }
 
@@ -38,8 +39,8 @@
         history.targets.try_emplace(version, target_record{{}, after, now});
     auto& known = found->second;
     if (is_new) {
-        // Versions only rise: one that this entry has missed was named after the moment at which
-        // its view was whole without the next one that it knows.
+        // Versions only increase: a version that this entry has missed was set after the time at
+        // which its view was complete without the next version it knows.
         const auto next = std::next(found);
         known.set_after = next == history.targets.end() ? std::nullopt : next->second.set_after;
         return true;
--- a/src/proxy/weights_history_tests.cpp
+++ b/src/proxy/weights_history_tests.cpp
@@ -12,39 +12,39 @@
 
 } // namespace
 
-// All entries lose power and start again together. Ten seconds before, new weights were named.
-// Nobody is left who knows when, and callers' requests must not begin on the old weights as if they
-// had been outdated only since the start.
-TEST_CASE("weights found at the start are taken to be named long ago", "[proxy]") {
+// All entries restart together after a power loss, ten seconds after new weights were set. None of
+// them knows when that was, and requests must not start on the old weights as if they had been
+// outdated only since the restart.
+TEST_CASE("weights found at startup are taken to have been set long ago", "[proxy]") {
     proxy::weights_history history;
     CHECK(proxy::record_target(history, 6, {{}, {}, at(20)}));
     CHECK(proxy::outdated_since(history, 5) < at(1));
     CHECK_FALSE(proxy::record_target(history, 6, {at(40), {}, at(41)}));
     CHECK(proxy::outdated_since(history, 5) < at(1));
 
-    SECTION("until an entry that went on living tells when it was") {
+    SECTION("a peer that kept running reports the date") {
         CHECK(proxy::record_reported_target(history, 6, at(19), at(42)));
         CHECK(proxy::outdated_since(history, 5) == at(19));
         CHECK_FALSE(proxy::record_reported_target(history, 6, at(18), at(42)));
         CHECK_FALSE(proxy::record_reported_target(history, 6, std::nullopt, at(42)));
         CHECK(proxy::outdated_since(history, 5) == at(19));
     }
-    SECTION("while what is named later is dated as usual") {
+    SECTION("later versions are dated as usual") {
         CHECK(proxy::record_target(history, 7, {at(50), {}, at(51)}));
         CHECK(proxy::outdated_since(history, 6) == at(50));
     }
 }
 
-// Guards against requests on outdated weights after a VM has lost power: its clock begins anew with
-// it, so the clock's start is no long time ago.
-TEST_CASE("weights of unknown age are outdated for long also on a VM that has just started",
+// Guards against starting requests on outdated weights after a VM has lost power: its clock
+// restarts at zero, so the clock's zero is not long ago.
+TEST_CASE("weights of unknown age count as long outdated even on a VM that has just booted",
           "[proxy]") {
     proxy::weights_history history;
     proxy::record_target(history, 6, {{}, {}, at(1)});
     CHECK(at(1) - proxy::outdated_since(history, 5) > std::chrono::hours(1));
 }
 
-TEST_CASE("weights are outdated since the first newer version was named", "[proxy]") {
+TEST_CASE("weights are outdated since the first newer version was set", "[proxy]") {
     proxy::weights_history history;
     CHECK(proxy::newest_version(history) == 0);
     CHECK(proxy::record_target(history, 2, {at(2), {}, at(2)}));
@@ -56,26 +56,26 @@
     CHECK(proxy::outdated_since(history, 3) == base::instant::max());
 }
 
-TEST_CASE("another entry's word dates a version more closely", "[proxy]") {
+TEST_CASE("a peer's report makes the date of a version more precise", "[proxy]") {
     proxy::weights_history history;
     proxy::record_target(history, 2, {at(2), {}, at(9)});
 
-    SECTION("where this entry's own date is imprecise") {
+    SECTION("if the local date is imprecise") {
         CHECK(proxy::is_imprecise(history, 1));
         CHECK_FALSE(proxy::is_imprecise(history, 2));
         CHECK(proxy::record_reported_target(history, 2, at(8), at(10)));
         CHECK(proxy::outdated_since(history, 1) == at(8));
         CHECK_FALSE(proxy::is_imprecise(history, 1));
     }
-    SECTION("and not where it is close already") {
+    SECTION("not if the local date is already precise") {
         proxy::record_target(history, 3, {at(11), {}, at(12)});
         CHECK_FALSE(proxy::is_imprecise(history, 2));
         CHECK_FALSE(proxy::record_reported_target(history, 3, at(13), at(14)));
         CHECK(proxy::outdated_since(history, 2) == at(11));
     }
-    // Guards against weights that are taken to be outdated since the second of two newer versions,
-    // by an entry that was away for the first.
-    SECTION("together with a version between that this entry has missed") {
+    // Guards against taking weights to be outdated only since the second of two newer versions at
+    // an entry that missed the first.
+    SECTION("together with a missed version in between") {
         proxy::record_target(history, 4, {at(12), {}, at(20)});
         CHECK(proxy::record_reported_target(history, 3, at(13), at(21)));
         CHECK(proxy::record_reported_target(history, 4, at(19), at(21)));
@@ -84,15 +84,15 @@
     }
 }
 
-// Guards against prompts that are refused, or taken back, since another entry tells of a version
-// that this one has missed and does not know when it was named.
-TEST_CASE("an undated word of a missed version leaves a good date", "[proxy]") {
+// Guards against refusing or cancelling prompts because a peer reports a version that this entry
+// has missed, without knowing when it was set.
+TEST_CASE("an undated report of a missed version keeps a precise date", "[proxy]") {
     proxy::weights_history history;
     proxy::record_target(history, 3, {at(8), {}, at(13)});
     CHECK(proxy::record_reported_target(history, 2, std::nullopt, at(14)));
     CHECK(proxy::outdated_since(history, 1) == at(8));
 
-    SECTION("also where a later one was dated more closely before") {
+    SECTION("even if a later version got a more precise date before") {
         proxy::record_target(history, 5, {at(15), {}, at(30)});
         CHECK(proxy::record_reported_target(history, 5, at(29), at(31)));
         CHECK(proxy::record_reported_target(history, 4, std::nullopt, at(31)));
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("replaced versions are forgotten once nothing may begin on them", "[proxy]") {
+TEST_CASE("superseded versions are removed once no request may start on them", "[proxy]") {
     proxy::weights_history history;
     for (int version = 2; version < 6; ++version) {
         proxy::record_target(history, version, {at(version * 10), {}, at(version * 10)});
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -15,21 +15,22 @@
 constexpr base::milliseconds call_timeout{700};
 constexpr std::size_t max_answer_bytes = 64U << 10U;
 constexpr int status_ok = 200;
-// Stands in place of a version while an upstream is asked what it holds.
+// Placeholder version while an upstream is queried for its state.
 constexpr std::int64_t querying = std::numeric_limits<std::int64_t>::max() - 1;
-// An order whose answer was lost may still be carried out; the upstream is asked after this long.
+// A command whose response was lost may still be executed; the upstream's state is queried after
+// this time.
 constexpr base::milliseconds unanswered_pause{1200};
-// Requests under way finish first, which takes some seconds at most; then the load itself.
+// In-flight requests finish first, which takes up to some seconds, and then the weights are loaded.
 constexpr base::milliseconds max_load_time{6000};
-// The platform's list tells of a finished load up to two seconds late. An upstream's own report is
-// some hundred milliseconds old, and asking for it costs next to nothing beside a load.
+// The platform's list shows a finished load up to two seconds late. An upstream's own report is
+// some hundred milliseconds old, and a state query costs next to nothing compared with a load.
 constexpr base::micros first_state_query = base::milliseconds(450);
 constexpr base::milliseconds state_query_period{200};
-// Until the next look and a little longer.
+// Covers the time until the next state query, with a small margin.
 constexpr base::milliseconds busy_extension{350};
-// Nothing new is sent to an upstream that is about to load, for as long as a load usually takes.
+// No new requests are sent to an upstream that is about to load for the usual duration of a load.
 constexpr base::milliseconds load_time{900};
-// From the naming of a version to the first orders: the watch, and a tick.
+// From a new target version to the first commands: the watch and one tick.
 constexpr base::seconds first_load_delay{1};
 
 const char* name_of(ports::in_flight_policy running) {
@@ -125,8 +126,8 @@
         this->pending_loads.erase(sent);
         return candidate;
     }
-    // An upstream that does not answer holds nobody up: it gets no further order for a while, and
-    // others are loaded in its place.
+    // An upstream that does not respond must not delay the others: it gets no further command for a
+    // while, and others are loaded in its place.
     const bool unanswered = !load.accepted && waited > unanswered_pause;
     candidate.loading = !unanswered;
     candidate.suspected = candidate.suspected || unanswered;
@@ -161,7 +162,7 @@
                                 std::int64_t version) {
     const auto known = this->accepted_commands.find(id);
     if (known == this->accepted_commands.end()) {
-        // Without the count an order that is carried out late could undo a newer one.
+        // Without the command counter, a command that is executed late could undo a newer one.
         this->pending_loads[id] = {querying, this->context.now(), false, {}, {}};
         this->query_state(id);
         return;
@@ -265,7 +266,7 @@
         });
 }
 
-// Nothing new goes to an upstream in change, from here and from other entries.
+// Stops new requests to an upstream that changes weights, from here and from all other entries.
 void weights_loader::pause_requests(fleet::member& member, base::milliseconds span) {
     const base::instant until = this->context.now() + span;
     member.busy_until = std::max<base::instant>(member.busy_until, until);
@@ -297,7 +298,8 @@
     this->query_state(id);
 }
 
-// An upstream that does not do as ordered is asked what it holds: the platform's list may lag.
+// Queries an upstream that did not follow a command for its state, since the platform's list may
+// lag.
 void weights_loader::query_state(const base::upstream_id& id) {
     const auto found = this->context.state.fleet.members.find(id);
     if (found == this->context.state.fleet.members.end()) {
@@ -318,10 +320,10 @@
         });
 }
 
-// An upstream that has started again may say so before the platform's list does: beliefs of its
-// earlier life are void from then on. What comes from a life that is over, or from one that the
-// list has replaced meanwhile, is not believed: its count of orders would let an order through that
-// was meant for another life.
+// An upstream may report a restart before the platform's list does, which invalidates everything
+// known of its previous incarnation. Reports from an incarnation that has ended, or that the list
+// has replaced meanwhile, are ignored: their command counter would let a command through that was
+// meant for another incarnation.
 bool weights_loader::accept_incarnation(const base::upstream_instance& queried,
                                         base::upstream_incarnation reported) {
     auto* member = fleet::find_instance(this->context.state.fleet, queried);
@@ -361,11 +363,12 @@
     this->accepted_commands[id] = state.accepted_commands;
     const bool accepted_here = load != this->pending_loads.end() && load->second.accepted;
     if (state.loading) {
-        // It refuses whatever comes; each refusal would cost a caller time and a retry.
+        // It rejects all requests meanwhile, and each rejection would cost a client time and a
+        // retry.
         this->pause_requests(member, busy_extension);
     }
     if (state.loading && load == this->pending_loads.end()) {
-        // Another leader's order, or one of ours that came late.
+        // A command of another leader, or a late one of this entry.
         this->pending_loads[id] = {querying, this->context.now(), true, {}, {}};
     } else if (!state.loading && load != this->pending_loads.end() && !accepted_here) {
         this->pending_loads.erase(load);
--- a/src/proxy/weights_loader.h
+++ b/src/proxy/weights_loader.h
@@ -10,38 +10,39 @@
 
 namespace camphorrail::proxy {
 
-// Who gives orders now, and under which name and fence.
+// The leadership under which load commands are issued: the holder's name and its fencing token.
 struct command_authority {
-    // Whether an order may be given now.
+    // Whether a command may be issued now.
     std::function<bool()> may_issue_commands;
     std::function<std::string()> name;
     std::function<std::int64_t()> fencing_token;
 };
 
-// Brings the upstreams to the weights that operators name, while this entry leads.
+// Loads the target weights set by operators on all upstreams while this entry is the leader.
 class weights_loader {
 public:
     weights_loader(entry_context& context, command_authority authority);
 
-    // Gives the orders that are due.
+    // Issues the load commands that are due.
     void tick();
 
 private:
-    // An order that was sent.
+    // A load command that is in progress.
     struct pending_load {
         std::int64_t version = 0;
         base::instant started_at;
         bool accepted = false;
         base::instant next_state_query{};
-        // It is not sent yet: the upstream has been getting nothing new since then.
+        // Set while the upstream is draining and the command has not been sent: the start of the
+        // drain.
         std::optional<base::instant> drained_since;
     };
 
-    // What is known of an upstream's orders, by its life. Its count of orders starts anew with
-    // each.
+    // Discards what is known of commands to previous incarnations. An upstream's command counter
+    // restarts with each incarnation.
     void discard_previous_incarnations();
-    // Takes what an upstream says of its own life; false where that is not the one that it is in as
-    // far as is known here.
+    // Applies the incarnation an upstream reports for itself; returns false if that is not the
+    // current one as far as known here.
     bool accept_incarnation(const base::upstream_instance& queried,
                             base::upstream_incarnation reported);
     void handle_state(const base::upstream_instance& upstream, const ports::upstream_state& state);
@@ -50,7 +51,7 @@
                                                          const base::model_id& model,
                                                          const weights_history& history);
     void begin_load(const base::upstream_id& id, const base::model_id& model, std::int64_t version);
-    // What is under way in an upstream's pool, and what the others there can take.
+    // The in-flight requests of an upstream's pool and the slots of its other members.
     [[nodiscard]] weights::pool_load pool_load_without(const fleet::member& changing) const;
     [[nodiscard]] ports::in_flight_policy
     choose_in_flight_policy(const fleet::member& member) const;
@@ -66,10 +67,10 @@
     entry_context& context;
     command_authority authority;
     std::map<base::upstream_id, pending_load> pending_loads;
-    // What upstreams said when asked, newer than the platform's list.
+    // The command counters that upstreams reported, newer than the platform's list.
     std::map<base::upstream_id, std::int64_t> accepted_commands;
     std::map<base::upstream_id, base::instant> loaded_at;
-    // The lives of upstreams that the above is about.
+    // The incarnations that the above state belongs to.
     std::map<base::upstream_id, base::upstream_incarnation> incarnations;
 };
 
--- a/src/proxy/weights_loader_tests.cpp
+++ b/src/proxy/weights_loader_tests.cpp
@@ -16,8 +16,8 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// An engine that says of itself what the test sets, and an entry that leads and is to bring it to
-// the second version.
+// An engine that reports a state set by the test, and a leading entry that has to bring it to the
+// second version.
 struct loader_world {
     tests::proxy_world world;
     proxy::weights_loader loader{this->world.entry(),
@@ -63,18 +63,17 @@
 
 } // namespace
 
-// An engine that has accepted three orders starts again under its id. Its count starts anew: with
-// the count of its earlier life an order would be refused for good, and one of ours that was on its
-// way to the earlier life could be carried out by the new one after a newer order.
-TEST_CASE("an order expects the count of the life that it is for", "[proxy][weights]") {
+// An engine that has accepted three commands restarts under its id, and its counter restarts too.
+// With the old count every command would be rejected, and a command sent to the previous
+// incarnation could be executed by the new one after a newer command.
+TEST_CASE("a load command expects the counter of its target incarnation", "[proxy][weights]") {
     loader_world world;
     world.incarnation = 100;
     world.accepted = 3;
     REQUIRE(world.wait_for_commands(1));
     CHECK(world.commands[0].find(R"("expected":3)") != std::string::npos);
 
-    SECTION(
-        "also when the list tells of the new life, with the smaller number of a clock set back") {
+    SECTION("the list shows a restart with a smaller number, after a clock was set back") {
         world.incarnation = 90;
         world.accepted = 0;
         auto again = world.member().listed;
@@ -83,7 +82,7 @@
         REQUIRE(world.wait_for_commands(2));
         CHECK(world.commands[1].find(R"("expected":0)") != std::string::npos);
     }
-    SECTION("and what a life says that is over is not believed") {
+    SECTION("a state reported by an ended incarnation is ignored") {
         auto again = world.member().listed;
         again.incarnation = {101};
         fleet::apply_list(world.world.state.fleet, {again}, world.world.entry().now());
@@ -93,9 +92,11 @@
     }
 }
 
-// The engine itself is asked before each order, and answers before the platform's list does. What
-// was believed of it is void from then on, though its earlier life is still listed for a second.
-TEST_CASE("an engine's own word ends what was believed of its earlier life", "[proxy][weights]") {
+// The engine is queried before each command and reports a restart before the platform's list does.
+// What was known of its previous incarnation is invalid from then on, although that one stays
+// listed for a second.
+TEST_CASE("a restart reported by the engine discards its previous incarnation",
+          "[proxy][weights]") {
     loader_world world;
     world.incarnation = 105;
     world.member().health.ejected_until = world.world.entry().now() + base::seconds(60);
@@ -107,15 +108,16 @@
     CHECK(world.member().listed.incarnation.value == 105);
     CHECK(world.member().remote_work.empty());
 
-    SECTION("and the list does not bring it back") {
+    SECTION("the outdated list does not restore it") {
         fleet::apply_list(world.world.state.fleet, {listed_before}, world.world.entry().now());
         CHECK(world.member().listed.incarnation.value == 105);
     }
 }
 
-// The failure: an engine with answers of several seconds under way finishes them before it loads,
-// and serves nobody else for as long.
-TEST_CASE("an engine cuts off what can go on elsewhere when it is to load", "[proxy][weights]") {
+// Guards against an engine that finishes responses of several seconds before it loads and serves no
+// one else meanwhile.
+TEST_CASE("an engine aborts requests that can continue elsewhere before it loads",
+          "[proxy][weights]") {
     loader_world world;
     world.world.stop_clock();
     world.incarnation = 100;
@@ -126,13 +128,13 @@
     const auto begun = world.world.entry().now();
     const auto passed = [&] { return world.world.entry().now() - begun; };
 
-    SECTION("after a moment in which it gets nothing new") {
+    SECTION("after a short drain") {
         REQUIRE(world.wait_for_commands(1));
         CHECK(world.commands[0].find(R"("mode":"cut")") != std::string::npos);
         CHECK(passed() >= base::milliseconds(400));
         CHECK(world.member().weights_change_until > world.world.entry().now());
     }
-    SECTION("once its calls that would be lost have ended") {
+    SECTION("after its unrepeatable calls have ended") {
         fleet::add_request(work, {9000, 3000, true, false});
         world.tick_until([&] { return passed() > base::milliseconds(700); });
         CHECK(world.commands.empty());
@@ -140,13 +142,13 @@
         REQUIRE(world.wait_for_commands(1));
         CHECK(world.commands[0].find(R"("mode":"cut")") != std::string::npos);
     }
-    SECTION("but has it go on where the rest of the pool has no room for it") {
+    SECTION("requests continue on the new weights if the rest of the pool is full") {
         other.listed.slots = 1;
         REQUIRE(world.wait_for_commands(1));
         CHECK(world.commands[0].find(R"("mode":"keep")") != std::string::npos);
         CHECK(passed() < base::milliseconds(400));
     }
-    SECTION("and finishes all of it where such a call takes long") {
+    SECTION("all requests finish if an unrepeatable call takes long") {
         fleet::add_request(work, {9000, 3000, true, false});
         REQUIRE(world.wait_for_commands(1));
         CHECK(world.commands[0].find(R"("mode":"wait")") != std::string::npos);
