--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -106,15 +106,15 @@
 }
 
 bool record_drain_report(entry_context& context, const base::upstream_instance& upstream,
-                         const std::string& told_by, base::instant said_at) {
-    if (!fleet::record_drain_report(context.state.fleet, upstream, said_at)) {
+                         const std::string& reported_by, base::instant reported_at) {
+    if (!fleet::record_drain_report(context.state.fleet, upstream, reported_at)) {
         return false;
     }
     context.log.line(adapters::importance::keep, "upstream_leaves")
         .text("upstream", upstream.id.value)
         .number("incarnation", upstream.incarnation.value)
-        .text("told_by", told_by)
-        .span("age_ms", context.now() - said_at);
+        .text("told_by", reported_by)
+        .span("age_ms", context.now() - reported_at);
     context.metrics.count("camphorrail_upstreams_leaving_by_their_word_total");
     return true;
 }
--- a/src/proxy/crash_detector.cpp
+++ b/src/proxy/crash_detector.cpp
@@ -29,22 +29,22 @@
       reports_left(max_report_burst) {}
 
 void crash_detector::record_broken_attempt(const broken_attempt& broken) {
-    auto& found = this->broken_upstreams[broken.upstream];
-    if (found.crashed) {
-        this->add_victims(broken.upstream, found.first_at, {broken.victim});
+    auto& record = this->broken_upstreams[broken.upstream];
+    if (record.crashed) {
+        this->add_victims(broken.upstream, record.first_at, {broken.victim});
         return;
     }
-    found.victims.push_back(broken.victim);
-    if (found.victims.size() == 1) {
-        found.address = broken.address;
-        found.first_at = this->context.now();
-        this->probe(broken.upstream, found);
+    record.victims.push_back(broken.victim);
+    if (record.victims.size() == 1) {
+        record.address = broken.address;
+        record.first_at = this->context.now();
+        this->probe(broken.upstream, record);
     }
 }
 
-void crash_detector::probe(const base::upstream_instance& upstream, broken_upstream& found) {
-    found.probe = std::make_unique<adapters::address_probe>(
-        this->context.loop.base(), found.address, probe_timeout,
+void crash_detector::probe(const base::upstream_instance& upstream, broken_upstream& record) {
+    record.probe = std::make_unique<adapters::address_probe>(
+        this->context.loop.base(), record.address, probe_timeout,
         [this, upstream](adapters::address_state state) {
             const auto known = this->broken_upstreams.find(upstream);
             if (known != this->broken_upstreams.end() &&
@@ -62,27 +62,27 @@
 }
 
 void crash_detector::record_replaced(const base::upstream_id& replaced) {
-    for (auto& [upstream, found] : this->broken_upstreams) {
+    for (auto& [upstream, record] : this->broken_upstreams) {
         if (upstream.id == replaced) {
-            this->record_crash(upstream, found, "replaced");
+            this->record_crash(upstream, record, "replaced");
         }
     }
 }
 
-void crash_detector::record_crash(const base::upstream_instance& upstream, broken_upstream& found,
+void crash_detector::record_crash(const base::upstream_instance& upstream, broken_upstream& record,
                                   const char* detected_by) {
-    if (found.crashed) {
+    if (record.crashed) {
         return;
     }
-    found.crashed = true;
+    record.crashed = true;
     this->context.log.line(importance::keep, "upstream_crashed")
         .text("upstream", upstream.id.value)
         .number("incarnation", upstream.incarnation.value)
-        .number("requests", static_cast<std::int64_t>(found.victims.size()))
+        .number("requests", static_cast<std::int64_t>(record.victims.size()))
         .text("seen_by", detected_by)
-        .span("after_ms", this->context.now() - found.first_at);
+        .span("after_ms", this->context.now() - record.first_at);
     this->context.metrics.count("camphorrail_upstream_crashes_total");
-    this->add_victims(upstream, found.first_at, std::exchange(found.victims, {}));
+    this->add_victims(upstream, record.first_at, std::exchange(record.victims, {}));
 }
 
 void crash_detector::add_victims(const base::upstream_instance& upstream, base::instant at,
--- a/src/proxy/crash_detector.h
+++ b/src/proxy/crash_detector.h
@@ -56,8 +56,8 @@
         std::unique_ptr<adapters::address_probe> probe;
     };
 
-    void probe(const base::upstream_instance& upstream, broken_upstream& found);
-    void record_crash(const base::upstream_instance& upstream, broken_upstream& found,
+    void probe(const base::upstream_instance& upstream, broken_upstream& record);
+    void record_crash(const base::upstream_instance& upstream, broken_upstream& record,
                       const char* detected_by);
     void add_victims(const base::upstream_instance& upstream, base::instant at,
                      const std::vector<quarantine::crash_victim>& victims);
--- a/src/proxy/kv_store_follower.cpp
+++ b/src/proxy/kv_store_follower.cpp
@@ -27,10 +27,10 @@
 constexpr int failures_to_down = 2;
 // Each store is reported at least every 1.3 s. The next entry in order takes over after this
 // silence, the one after it after twice as long.
-constexpr base::seconds silence_per_place{2};
+constexpr base::seconds silence_per_rank{2};
 // This many entries in order poll a store that was reported down, since the first one may itself be
 // cut off.
-constexpr std::size_t places_probing_down_store = 3;
+constexpr std::size_t ranks_polling_down_store = 3;
 // A store of 1.2 million tokens lists about 500 parts of 50 bytes each.
 constexpr std::size_t max_response_bytes = 4U << 20U;
 
@@ -69,13 +69,13 @@
 }
 
 bool kv_store_follower::is_our_turn(const std::string& address, const followed_store& store) const {
-    const std::size_t place =
+    const std::size_t rank =
         entries::duty_rank(this->connected_entries(), this->context.settings.id, address);
     const auto known = this->context.state.stored_prompts.find(address);
     const bool down = known != this->context.state.stored_prompts.end() && known->second.down;
     const auto silence = this->context.now() - store.last_reported_at;
-    return place == 0 || silence > silence_per_place * static_cast<std::int64_t>(place) ||
-           (down && place < places_probing_down_store);
+    return rank == 0 || silence > silence_per_rank * static_cast<std::int64_t>(rank) ||
+           (down && rank < ranks_polling_down_store);
 }
 
 void kv_store_follower::send_request(const std::string& address, followed_store& store) {
--- a/src/proxy/leadership.cpp
+++ b/src/proxy/leadership.cpp
@@ -17,7 +17,7 @@
 // Candidates wait in a fixed order before they campaign, so that one does and the others see its
 // success; campaigning all at once, a hundred entries took a lease each. The wait is limited, so
 // that the last ones act in time even if all before them are cut off from the store.
-constexpr base::milliseconds campaign_delay_per_place{250};
+constexpr base::milliseconds campaign_delay_per_rank{250};
 constexpr base::milliseconds max_campaign_delay{3000};
 // By then the links are open; before that, each entry would consider itself first in order.
 constexpr base::milliseconds startup_delay{1000};
@@ -144,9 +144,9 @@
 
 // Whether every entry before this one in order has had its chance to become leader.
 bool leadership::is_our_turn() const {
-    const auto place = static_cast<std::int64_t>(
+    const auto rank = static_cast<std::int64_t>(
         entries::duty_rank(this->connected_entries(), this->context.settings.id, duty_name));
-    const auto wait = std::min(campaign_delay_per_place * place, max_campaign_delay);
+    const auto wait = std::min(campaign_delay_per_rank * rank, max_campaign_delay);
     return this->vacant_since && this->context.now() - *this->vacant_since >= wait;
 }
 
--- a/src/proxy/leadership.h
+++ b/src/proxy/leadership.h
@@ -22,8 +22,8 @@
     void tick();
     // Releases the leadership, so that another entry need not wait for the lease to expire.
     void resign();
-    // Whether a load command may be sent now. The first call of a term returns false and records
-    // this entry in the store as the last one to send commands.
+    // Whether a load command may be sent now. The first call of a term only starts to record this
+    // entry in the store as the last one to send commands.
     [[nodiscard]] bool may_issue_commands();
     // Detects the end of another entry's term; must be called after each change of the mirror.
     void on_store_change();
--- a/src/proxy/peers_tests.cpp
+++ b/src/proxy/peers_tests.cpp
@@ -47,9 +47,9 @@
         this->world.state.store.items[key] = {key, other_address, 1};
         this->listener = adapters::listen_for_links(
             this->world.entry().loop.base(), other_address, {max_message_bytes},
-            [this](const adapters::link_ptr& made) {
-                this->other = made;
-                made->received.connect([this](std::string_view bytes) {
+            [this](const adapters::link_ptr& accepted) {
+                this->other = accepted;
+                accepted->received.connect([this](std::string_view bytes) {
                     this->received_messages.push_back(peering::decode(bytes).value().payload);
                 });
             });
--- a/src/proxy/quarantine_records_tests.cpp
+++ b/src/proxy/quarantine_records_tests.cpp
@@ -14,8 +14,8 @@
     int calls = 0;
 
     ports::platform calls_to() {
-        ports::platform made;
-        made.commit = [this](const ports::transaction& change, const auto& done) {
+        ports::platform platform;
+        platform.commit = [this](const ports::transaction& change, const auto& done) {
             ++this->calls;
             if (this->unavailable) {
                 done(base::code::platform_unreachable);
@@ -23,14 +23,14 @@
             }
             done(ports::commit_result{this->apply(change), this->mirror.revision});
         };
-        return made;
+        return platform;
     }
 
     bool apply(const ports::transaction& change) {
         for (const auto& each : change.preconditions) {
             const auto found = this->mirror.items.find(each.key);
-            const auto there = found == this->mirror.items.end() ? 0 : found->second.mod_revision;
-            if (there != each.mod_revision) {
+            const auto exists = found == this->mirror.items.end() ? 0 : found->second.mod_revision;
+            if (exists != each.mod_revision) {
                 return false;
             }
         }
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -43,8 +43,8 @@
 }
 
 void store_follower::tick() {
-    const bool was_following = this->duty.watches_store;
-    const auto due = entries::next_store_calls(this->duty, this->view(), this->rules);
+    const bool was_following = this->sync_state.watches_store;
+    const auto due = entries::next_store_calls(this->sync_state, this->view(), this->rules);
     this->log_following_change(was_following);
     if (due.read) {
         this->read_all();
@@ -58,7 +58,7 @@
 }
 
 void store_follower::log_following_change(bool was_following) {
-    if (this->duty.watches_store == was_following) {
+    if (this->sync_state.watches_store == was_following) {
         return;
     }
     this->context.log.line(importance::keep, was_following ? "store_left" : "store_followed")
@@ -67,7 +67,7 @@
 }
 
 void store_follower::publish(std::int64_t revision_before, const std::set<std::string>& keys) {
-    if (this->duty.watches_store) {
+    if (this->sync_state.watches_store) {
         this->broadcast_changes(revision_before);
     }
     if (!keys.empty()) {
@@ -97,7 +97,7 @@
 void store_follower::read_all() {
     const base::instant began = this->context.now();
     this->platform.read(all_keys, [this, began](base::result<ports::snapshot> read) {
-        const bool first = !this->duty.read_once;
+        const bool first = !this->sync_state.read_once;
         if (read.has_value()) {
             auto& store = this->context.state.store;
             const std::int64_t before = store.revision;
@@ -105,7 +105,7 @@
             mirror::record_revision(store, read.value().revision, began);
             this->publish(before, changed);
         }
-        entries::record_store_read(this->duty, read.has_value(), this->view(), this->rules);
+        entries::record_store_read(this->sync_state, read.has_value(), this->view(), this->rules);
         this->update_reachability(read.has_value());
         if (read.has_value() && first) {
             this->context.log.line(importance::keep, "store_read")
@@ -117,25 +117,26 @@
 
 void store_follower::watch() {
     const std::int64_t watch_generation = ++this->watch_generation;
-    this->platform.watch(
-        all_keys, this->context.state.store.revision, watch_wait,
-        [this, watch_generation](base::result<ports::changes> update) {
-            const bool answered = update.has_value();
-            const bool compacted = answered && update.value().compacted;
-            if (answered && !compacted) {
-                auto& store = this->context.state.store;
-                const std::int64_t before = store.revision;
-                this->publish(before, mirror::apply_changes(store, update.value()));
-            }
-            if (watch_generation != this->watch_generation) {
-                return;
-            }
-            if (compacted) {
-                this->context.log.line(importance::keep, "store_history_lost")
-                    .number("revision", this->context.state.store.revision);
-            }
-            entries::record_watch_end(this->duty, answered, compacted, this->view(), this->rules);
-        });
+    this->platform.watch(all_keys, this->context.state.store.revision, watch_wait,
+                         [this, watch_generation](base::result<ports::changes> update) {
+                             const bool answered = update.has_value();
+                             const bool compacted = answered && update.value().compacted;
+                             if (answered && !compacted) {
+                                 auto& store = this->context.state.store;
+                                 const std::int64_t before = store.revision;
+                                 this->publish(before,
+                                               mirror::apply_changes(store, update.value()));
+                             }
+                             if (watch_generation != this->watch_generation) {
+                                 return;
+                             }
+                             if (compacted) {
+                                 this->context.log.line(importance::keep, "store_history_lost")
+                                     .number("revision", this->context.state.store.revision);
+                             }
+                             entries::record_watch_end(this->sync_state, answered, compacted,
+                                                       this->view(), this->rules);
+                         });
 }
 
 ports::transaction store_follower::make_verification() const {
@@ -195,7 +196,7 @@
                 mirror::mark_verified(store, began);
                 mirror::record_revision(store, answer.value().revision, began);
             }
-            entries::record_verification(this->duty, outcome, this->view(), this->rules);
+            entries::record_verification(this->sync_state, outcome, this->view(), this->rules);
             this->update_reachability(outcome.answered);
         });
 }
--- a/src/proxy/store_follower.h
+++ b/src/proxy/store_follower.h
@@ -53,7 +53,7 @@
 
     entry_context& context;
     ports::platform platform;
-    entries::store_sync duty;
+    entries::store_sync sync_state;
     entries::store_sync_rules rules;
     // Watches of earlier generations have been abandoned. Their changes are still applied, since
     // they are late but correct.
--- a/src/proxy/store_updates_tests.cpp
+++ b/src/proxy/store_updates_tests.cpp
@@ -34,11 +34,12 @@
     }
 
     ports::platform store() {
-        ports::platform made;
-        made.read_key = [this](std::string key, ports::read_consistency consistency, auto done) {
+        ports::platform platform;
+        platform.read_key = [this](std::string key, ports::read_consistency consistency,
+                                   auto done) {
             this->pending_reads.push_back({std::move(key), consistency, std::move(done)});
         };
-        return made;
+        return platform;
     }
 
     void answer(base::result<std::optional<ports::stored_value>> with) {
--- a/src/proxy/weights_loader.cpp
+++ b/src/proxy/weights_loader.cpp
@@ -215,9 +215,9 @@
     for (auto& [id, load] : this->pending_loads) {
         const auto found = this->context.state.fleet.members.find(id);
         const auto known = this->accepted_commands.find(id);
-        const bool there = found != this->context.state.fleet.members.end() &&
-                           known != this->accepted_commands.end();
-        if (!load.drained_since || !there) {
+        const bool exists = found != this->context.state.fleet.members.end() &&
+                            known != this->accepted_commands.end();
+        if (!load.drained_since || !exists) {
             continue;
         }
         auto& member = found->second;
