--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -75,10 +75,11 @@
         const auto step = [&](int) {
             now += base::micros(1000);
             const auto chain = make_chain(random, 400);
-            const auto made = routing::choose(pool, table, {&chain, {}}, now, random, rules);
-            routing::note_sent(pool, table, *made, chain, now);
-            routing::note_served(pool, table, pool.upstreams[made->index].id, chain, made->basis,
-                                 {5500}, now, rules);
+            const auto made =
+                routing::choose_upstream(pool, table, {&chain, {}}, now, random, rules);
+            routing::record_sent(pool, table, *made, chain, now);
+            routing::record_served(pool, table, pool.upstreams[made->index].id, chain, made->basis,
+                                   {5500}, now, rules);
         };
         microseconds_each(2000, step);
         print("routing decision, sending and learning", std::to_string(size) + " upstreams",
@@ -88,7 +89,7 @@
                                 [&](int round) {
                                     const auto& id =
                                         pool.upstreams[static_cast<std::size_t>(round % size)].id;
-                                    routing::note_load(pool, id, base::micros(10), 100, 1, now);
+                                    routing::record_load(pool, id, base::micros(10), 100, 1, now);
                                 }),
               "us");
     }
@@ -98,7 +99,7 @@
     const double before = resident_megabytes();
     routing::affinity_table table;
     for (std::size_t key = 0; key < table.capacity; ++key) {
-        routing::remember(table, base::combine_hashes(key, 3), {1, 1, {}});
+        routing::add_holder(table, base::combine_hashes(key, 3), {1, 1, {}});
     }
     const double after = resident_megabytes();
     print("affinity table, full", std::to_string(table.capacity) + " prefixes", after - before,
@@ -117,9 +118,10 @@
         const auto step = [&](int) {
             now += base::micros(1000);
             const auto chain = make_chain(random, static_cast<std::uint64_t>(blocks) / 40 + 1);
-            const auto estimate = routing::expected_work(view, chain, now);
-            routing::note_taken(view, chain, now);
-            routing::note_served(view, chain, estimate.basis, {5500}, base::milliseconds(10), now);
+            const auto estimate = routing::estimate_work(view, chain, now);
+            routing::record_accepted(view, chain, now);
+            routing::record_served(view, chain, estimate.basis, {5500}, base::milliseconds(10),
+                                   now);
         };
         microseconds_each(blocks, step);
         print("agent's knowledge of its cache, an order", std::to_string(blocks) + " prefixes",
@@ -249,24 +251,24 @@
         }
         for (int entry = 1; entry < entries; ++entry) {
             report.from = {"entry-" + std::to_string(entry)};
-            quota::take_report(known, report, now, rules);
+            quota::apply_report(known, report, now, rules);
         }
         print("decision by a quota", label,
               microseconds_each(20000,
                                 [&](int round) {
                                     const auto number = static_cast<std::uint64_t>(round);
-                                    (void)quota::take(known, limited[number % teams].id, {1},
-                                                      base::combine_hashes(number, 1), now, rules);
+                                    (void)quota::admit(known, limited[number % teams].id, {1},
+                                                       base::combine_hashes(number, 1), now, rules);
                                 }),
               "us");
         report.counts.resize(4);
         print("taking four counts of an entry", label,
               microseconds_each(
-                  20000, [&](int /*round*/) { quota::take_report(known, report, now, rules); }),
+                  20000, [&](int /*round*/) { quota::apply_report(known, report, now, rules); }),
               "us");
     }
     print("count of one team of one entry, held", "one",
-          static_cast<double>(sizeof(quota::told_count)), "bytes");
+          static_cast<double>(sizeof(quota::remote_count)), "bytes");
     peering::entry_load told;
     const auto bare = peering::encode({peering::load_report{{told}}}).size();
     told.usage = {{{"team-17"}, 1796236207773000, base::seconds(100), {123456789}, {234567890}}};
--- a/src/entry/request_answers.cpp
+++ b/src/entry/request_answers.cpp
@@ -83,11 +83,11 @@
     }
     auto& pool = this->around->router->pools[this->request.pool];
     if (!this->once()) {
-        routing::note_served(pool, this->around->router->affinity, this->upstream,
-                             this->request.chain, this->made.basis, {message.cached_tokens},
-                             this->now(), this->around->router->rules);
+        routing::record_served(pool, this->around->router->affinity, this->upstream,
+                               this->request.chain, this->made.basis, {message.cached_tokens},
+                               this->now(), this->around->router->rules);
         if (auto* view = routing::find(pool, this->upstream)) {
-            membership::note_success(view->health);
+            membership::record_success(view->health);
         }
     }
     const adapters::metric_labels labels{{"pool", this->request.pool.value}};
--- a/src/prefix/prefix_chain.cpp
+++ b/src/prefix/prefix_chain.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// One piece of a few thousand tokens, the size in which engines move their cache.
+// Size of a piece in bytes, about two thousand tokens, the granularity in which engines transfer
+// their cache.
 constexpr std::size_t split_bytes = 8192;
 
 std::uint64_t scope_key(const cache_scope& scope) {
@@ -39,7 +40,7 @@
     for (const std::string_view piece : split(parts)) {
         key = base::combine_hashes(key, base::stable_hash(piece));
         bytes += static_cast<std::int64_t>(piece.size());
-        const prefix_level level{key, {bytes / bytes_a_token}};
+        const prefix_level level{key, {bytes / bytes_per_token}};
         if (chain.size() < max_levels) {
             chain.push_back(level);
         } else {
--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -18,37 +18,37 @@
 }
 
 base::micros max_config_age(const settings::proxy_settings& settings) {
-    // A request's way to the upstream, and the time a loaded machine takes for one turn of its
-    // loop.
+    // Covers a request's transit to the upstream and one event loop iteration of a loaded machine.
     constexpr base::milliseconds margin{400};
     return std::max<base::milliseconds>(settings.bounds.revoke - margin, margin);
 }
 
 quota::quota_rules quota_rules_of(const settings::proxy_settings& settings) {
     quota::quota_rules rules;
-    rules.allowed = {settings.bounds.quota_window, settings.bounds.quota_excess,
-                     settings.bounds.quota_slack};
-    rules.longest_unlisted = max_config_age(settings);
+    rules.window_tolerance = {settings.bounds.quota_window, settings.bounds.quota_excess,
+                              settings.bounds.quota_slack};
+    rules.unlisted_timeout = max_config_age(settings);
     return rules;
 }
 
 base::micros max_outdated_weights_age(const settings::proxy_settings& settings) {
-    // The way to the upstream, and the longest turn of a loaded VM's loop, before which a request
-    // may not leave. When weights were named is never taken for later than it was.
+    // Covers the transit to the upstream and the longest event loop iteration on a loaded VM,
+    // before which a request may not be sent. The time at which weights were set is never estimated
+    // too late.
     constexpr base::milliseconds margin{1000};
     return std::max<base::milliseconds>(settings.bounds.outdated_weights - margin, margin);
 }
 
 fleet::fleet_rules fleet_rules_of(const settings::proxy_settings& settings) {
     fleet::fleet_rules rules;
-    // Two failures in a row are rare on a sound upstream, and a crashed one fails every call; with
-    // three, one more caller of each entry would be lost to it.
+    // Two consecutive failures are rare on a healthy upstream, and a crashed one fails every call;
+    // with three, one more request of each entry would be lost to it.
     rules.health.failures_to_eject = 2;
-    rules.health.share_to_eject = 0.4;
-    rules.health.first_ejection = base::milliseconds(1000);
-    // A crashed engine is back in some seconds; a longer absence than this would cost more than the
-    // one call that finds it still down.
-    rules.health.longest_ejection = base::seconds(4);
+    rules.health.ejection_failure_rate = 0.4;
+    rules.health.base_ejection = base::milliseconds(1000);
+    // A crashed engine is back within seconds; a longer ejection would cost more than the one call
+    // that finds it still down.
+    rules.health.max_ejection = base::seconds(4);
     rules.unlisted_grace = settings.bounds.drain * 7 / 10;
     return rules;
 }
@@ -60,33 +60,34 @@
         return 0;
     }
     const auto pool = state.config->pools.find(found->second.listed.pool);
-    return pool == state.config->pools.end() ? 0 : pool->second.engine_tokens;
+    return pool == state.config->pools.end() ? 0 : pool->second.kv_capacity_tokens;
 }
 
-void record_prompt_read(entry_context& context, const kvcache::prompt_read& read) {
-    const auto* one = fleet::find_instance(context.state.fleet, read.by);
-    if (one == nullptr) {
+void record_prompt_read(entry_context& context, const kvcache::prompt_prefill& read) {
+    const auto* member = fleet::find_instance(context.state.fleet, read.engine);
+    if (member == nullptr) {
         return;
     }
     const base::instant now = context.now();
-    kvcache::note_read(context.state.cache, read, engine_capacity_tokens(context.state, read.by),
-                       now);
-    if (read.shown.ms > 0.0) {
-        latency::note_first_byte(context.state.latency[one->listed.pool], read.shown, now);
+    kvcache::record_prefill(context.state.cache, read,
+                            engine_capacity_tokens(context.state, read.engine), now);
+    if (read.first_byte.ms > 0.0) {
+        latency::record_first_byte(context.state.latency[member->listed.pool], read.first_byte,
+                                   now);
     }
 }
 
 void record_weights(entry_context& context, const base::upstream_instance& upstream,
                     const base::model_id& model, std::int64_t version) {
-    auto* one = fleet::find_instance(context.state.fleet, upstream);
-    if (one == nullptr) {
+    auto* member = fleet::find_instance(context.state.fleet, upstream);
+    if (member == nullptr) {
         return;
     }
-    for (auto& [name, held] : one->listed.models) {
+    for (auto& [name, held] : member->listed.models) {
         if (name == model && held < version) {
             held = version;
-            one->busy_until = context.now();
-            kvcache::forget_reader(context.state.cache, upstream.id);
+            member->busy_until = context.now();
+            kvcache::forget_engine(context.state.cache, upstream.id);
             context.log.line(adapters::importance::keep, "upstream_weights")
                 .text("upstream", upstream.id.value)
                 .number("version", version);
@@ -95,10 +96,10 @@
 }
 
 void discard_previous_incarnation(entry_context& context, const base::upstream_instance& now_in) {
-    context.connections.forget(now_in.id);
-    kvcache::forget_reader(context.state.cache, now_in.id);
+    context.connections.close_idle(now_in.id);
+    kvcache::forget_engine(context.state.cache, now_in.id);
     std::erase_if(context.state.unreported_reads,
-                  [&](const auto& read) { return read.by.id == now_in.id; });
+                  [&](const auto& read) { return read.engine.id == now_in.id; });
     context.log.line(adapters::importance::keep, "upstream_restarted")
         .text("upstream", now_in.id.value)
         .number("incarnation", now_in.incarnation.value);
@@ -106,38 +107,39 @@
 }
 
 bool record_drain_report(entry_context& context, const base::upstream_instance& upstream,
-                         const std::string& told_by, base::instant said_at) {
-    if (!fleet::record_drain_report(context.state.fleet, upstream, said_at)) {
+                         const std::string& reported_by, base::instant reported_at) {
+    if (!fleet::record_drain_report(context.state.fleet, upstream, reported_at)) {
         return false;
     }
     context.log.line(adapters::importance::keep, "upstream_leaves")
         .text("upstream", upstream.id.value)
         .number("incarnation", upstream.incarnation.value)
-        .text("told_by", told_by)
-        .span("age_ms", context.now() - said_at);
+        .text("told_by", reported_by)
+        .span("age_ms", context.now() - reported_at);
     context.metrics.count("camphorrail_upstreams_leaving_by_their_word_total");
     return true;
 }
 
 namespace {
 
-// Gives how long the upstream is ejected for, if this ejected it.
-template <class Note>
-std::optional<base::micros> note(entry_context& context, const base::upstream_instance& upstream,
-                                 const char* why, Note note_it) {
-    auto* one = fleet::find_instance(context.state.fleet, upstream);
-    if (one == nullptr) {
+// Returns the duration of the ejection if this update ejected the upstream.
+template <class Update>
+std::optional<base::micros> update_health(entry_context& context,
+                                          const base::upstream_instance& upstream, const char* why,
+                                          Update apply) {
+    auto* member = fleet::find_instance(context.state.fleet, upstream);
+    if (member == nullptr) {
         return std::nullopt;
     }
     const base::instant now = context.now();
-    const bool was_usable = membership::usable(one->health, now);
-    note_it(one->health, now, fleet_rules_of(context.settings).health);
-    const bool ejected = was_usable && !membership::usable(one->health, now);
+    const bool was_usable = membership::is_usable(member->health, now);
+    apply(member->health, now, fleet_rules_of(context.settings).health);
+    const bool ejected = was_usable && !membership::is_usable(member->health, now);
     if (!ejected) {
         return std::nullopt;
     }
-    context.connections.forget(upstream.id);
-    const base::micros span = one->health.ejected_until - now;
+    context.connections.close_idle(upstream.id);
+    const base::micros span = member->health.ejected_until - now;
     context.log.line(adapters::importance::keep, "upstream_ejected")
         .text("upstream", upstream.id.value)
         .text("why", why)
@@ -150,21 +152,21 @@
 
 void record_upstream_failure(entry_context& context, const base::upstream_instance& upstream,
                              const char* why) {
-    const auto span = note(context, upstream, why, membership::note_failure);
+    const auto span = update_health(context, upstream, why, membership::record_failure);
     if (span) {
         context.broadcast_suspicion(upstream, *span, why);
     }
 }
 
 void record_upstream_error(entry_context& context, const base::upstream_instance& upstream) {
-    // Others are not told: some services fail one call in seven, and of many entries one always
-    // sees several in a row.
-    note(context, upstream, "error_answers", membership::note_error);
+    // Other entries are not notified: some services fail one call in seven, and among many entries
+    // there is always one that sees several failures in a row.
+    update_health(context, upstream, "error_answers", membership::record_error);
 }
 
 void record_upstream_success(entry_context& context, const base::upstream_instance& upstream) {
-    if (auto* one = fleet::find_instance(context.state.fleet, upstream)) {
-        membership::note_success(one->health, fleet_rules_of(context.settings).health);
+    if (auto* member = fleet::find_instance(context.state.fleet, upstream)) {
+        membership::record_success(member->health, fleet_rules_of(context.settings).health);
     }
 }
 
--- /dev/null
+++ b/src/proxy/frontend_server.cpp
@@ -0,0 +1,547 @@
+#include "proxy/frontend_server.h"
+
+#include "adapters/sockets.h"
+#include "adapters/timer.h"
+
+#include <event2/buffer.h>
+#include <event2/bufferevent.h>
+#include <event2/event.h>
+#include <event2/listener.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <netinet/in.h>
+#include <sys/ioctl.h>
+#include <sys/socket.h>
+#include <utility>
+
+namespace camphorrail::proxy {
+
+namespace {
+
+constexpr int status_bad_request = 400;
+constexpr int status_timeout = 408;
+constexpr int status_too_large = 413;
+constexpr int status_head_too_large = 431;
+constexpr int listen_backlog = 1024;
+// Bytes of the next request that are read while a response is in progress. Reading continues so
+// that a client that disconnects is noticed.
+constexpr std::size_t read_ahead_bytes = 64U << 10U;
+// Time for which the connection is still read after its final response. Closing a socket with
+// unread bytes resets the connection, and the client could lose the response.
+constexpr base::milliseconds linger_time{1000};
+// Keepalive settings for clients, whose links may be slow. A client that exceeds these limits is
+// considered gone.
+constexpr adapters::silence_limits client_keepalive{base::milliseconds(8000), base::seconds(3), 3};
+
+// A connection that was accepted or answered more recently than this is not closed as idle, since
+// the client is likely to use it.
+constexpr base::milliseconds min_idle_time{200};
+// While accepting is paused, idle connections are searched for at this interval.
+constexpr base::milliseconds accept_retry_period{20};
+// One in this many connections is kept free for new clients.
+constexpr std::size_t spare_divisor = 16;
+constexpr std::size_t max_spare_connections = 64;
+
+int status_of(http::read_fault fault) {
+    switch (fault) {
+    case http::read_fault::head_too_large:
+        return status_head_too_large;
+    case http::read_fault::body_too_large:
+        return status_too_large;
+    default:
+        return status_bad_request;
+    }
+}
+
+std::string_view contents(evbuffer* input) {
+    const auto length = evbuffer_get_length(input);
+    return {reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), length};
+}
+
+} // namespace
+
+// A client's connection. It reads one request at a time and writes the response.
+class client_connection : public std::enable_shared_from_this<client_connection> {
+public:
+    client_connection(frontend_server& server, std::int64_t number, int descriptor)
+        : server(&server), number(number), limits(server.callbacks.limits()),
+          reader(this->limits.read),
+          next_request_timer(server.base, [this] { this->read_request(); }) {
+        adapters::watch_for_silence(descriptor, client_keepalive);
+        this->socket = bufferevent_socket_new(server.base, descriptor, BEV_OPT_CLOSE_ON_FREE);
+        bufferevent_setcb(this->socket, on_read, on_write, on_event, this);
+        this->wait_for_request();
+        bufferevent_enable(this->socket, EV_READ | EV_WRITE);
+    }
+
+    ~client_connection() { this->release(); }
+    client_connection(const client_connection&) = delete;
+    client_connection& operator=(const client_connection&) = delete;
+
+    [[nodiscard]] bool is_open() const {
+        return this->socket != nullptr && !this->final_response_written;
+    }
+    // Whether bytes wait in the buffer or in the kernel, such as a request that has just arrived.
+    [[nodiscard]] bool has_unread() const {
+        int waiting = 0;
+        ioctl(bufferevent_getfd(this->socket), FIONREAD, &waiting);
+        return waiting > 0 || evbuffer_get_length(bufferevent_get_input(this->socket)) > 0;
+    }
+    [[nodiscard]] base::instant idle_since() const { return this->idle_start; }
+    [[nodiscard]] bool idle() const {
+        return this->exchange == nullptr && !this->reading && !this->final_response_written;
+    }
+
+    void respond(int status, const http::fields& fields, const std::string& body) {
+        const bool keep = this->keep_alive();
+        this->write(
+            http::write_response_head(status, fields, {http::framing::length, body.size()}, keep));
+        this->write(body);
+        this->end_exchange(keep);
+    }
+
+    void start(int status, const http::fields& fields) {
+        this->chunked = this->exchange->head.chunks_allowed;
+        this->keep_alive_after = this->keep_alive() && this->chunked;
+        const auto kind = this->chunked ? http::framing::chunks : http::framing::close;
+        this->write(http::write_response_head(status, fields, {kind, 0}, this->keep_alive_after));
+    }
+
+    void send(const std::string& bytes) {
+        this->write(this->chunked ? http::write_chunk(bytes) : bytes);
+    }
+
+    void finish() {
+        if (this->chunked) {
+            this->write(std::string(http::last_chunk));
+        }
+        this->end_exchange(this->keep_alive_after);
+    }
+
+    void abort() {
+        if (this->socket != nullptr && this->chunked) {
+            // The missing last chunk shows that the response is incomplete. Data sent before is
+            // still delivered, so that the client can resume after it.
+            this->end_exchange(false);
+            return;
+        }
+        if (this->socket != nullptr) {
+            // An orderly close would mark a response without a length as complete.
+            const struct linger reset_on_close { 1, 0 };
+            setsockopt(bufferevent_getfd(this->socket), SOL_SOCKET, SO_LINGER, &reset_on_close,
+                       sizeof reset_on_close);
+        }
+        this->exchange.reset();
+        this->close();
+    }
+
+    // Stops reading requests and closes the connection once all output is sent: a response may be
+    // complete for the server while part of it still waits for the client's link.
+    void close_gracefully() {
+        this->remove_from_idle();
+        this->reading = false;
+        if (this->socket == nullptr) {
+            this->final_response_written = true;
+            return;
+        }
+        this->server->closing_count += std::exchange(this->final_response_written, true) ? 0 : 1;
+        bufferevent_setwatermark(this->socket, EV_READ, 0, 0);
+        // A read timeout disables reading; it is enabled again until the client closes.
+        bufferevent_enable(this->socket, EV_READ);
+        if (this->unsent() == 0) {
+            this->on_output_drained();
+        }
+    }
+
+    [[nodiscard]] std::size_t unsent() const {
+        return this->socket == nullptr ? 0
+                                       : evbuffer_get_length(bufferevent_get_output(this->socket));
+    }
+
+    void close() {
+        const auto self = this->shared_from_this();
+        this->server->closing_count -=
+            this->final_response_written && this->socket != nullptr ? 1 : 0;
+        this->remove_from_idle();
+        this->release();
+        this->server->remove(this->number);
+        if (const auto ended_exchange = std::exchange(this->exchange, nullptr)) {
+            ended_exchange->disconnected.emit();
+        }
+    }
+
+private:
+    static std::shared_ptr<client_connection> self_of(void* raw) {
+        return static_cast<client_connection*>(raw)->shared_from_this();
+    }
+    static void on_read(bufferevent* /*socket*/, void* raw) { self_of(raw)->read_request(); }
+    static void on_write(bufferevent* /*socket*/, void* raw) { self_of(raw)->on_output_drained(); }
+    static void on_event(bufferevent* /*socket*/, short what, void* raw) {
+        const auto self = self_of(raw);
+        if ((what & BEV_EVENT_TIMEOUT) != 0 && self->reading && !self->final_response_written) {
+            self->refuse(status_timeout);
+            return;
+        }
+        self->close();
+    }
+
+    void remove_from_idle() { this->server->idle.erase(std::exchange(this->idle_key, 0)); }
+
+    void release() {
+        if (this->socket != nullptr) {
+            bufferevent_free(std::exchange(this->socket, nullptr));
+        }
+    }
+
+    void write(const std::string& bytes) {
+        if (this->socket != nullptr) {
+            bufferevent_write(this->socket, bytes.data(), bytes.size());
+        }
+    }
+
+    [[nodiscard]] bool keep_alive() const {
+        return this->exchange->head.keep_alive && !this->server->close_after_response;
+    }
+
+    void set_read_timeout(base::milliseconds limit) {
+        const timeval wait = adapters::to_timeval(limit);
+        bufferevent_set_timeouts(this->socket, limit.count() == 0 ? nullptr : &wait, nullptr);
+    }
+
+    void wait_for_request() {
+        this->reading = false;
+        this->remove_from_idle();
+        this->idle_start = this->server->callbacks.now();
+        this->idle_key = ++this->server->last_idle_key;
+        this->server->idle.emplace(this->idle_key, this);
+        this->limits = this->server->callbacks.limits();
+        this->reader = http::request_reader(this->limits.read);
+        this->set_read_timeout(this->limits.idle_timeout);
+        bufferevent_setwatermark(this->socket, EV_READ, 0, 0);
+    }
+
+    void read_request() {
+        if (this->socket == nullptr || this->exchange != nullptr) {
+            return;
+        }
+        evbuffer* input = bufferevent_get_input(this->socket);
+        if (this->final_response_written) {
+            evbuffer_drain(input, evbuffer_get_length(input));
+            return;
+        }
+        this->skip_blank_lines(input);
+        if (evbuffer_get_length(input) == 0) {
+            return;
+        }
+        this->begin_reading();
+        evbuffer_drain(input, this->reader.feed(contents(input)));
+        if (this->reader.fault() != http::read_fault::none) {
+            this->refuse(status_of(this->reader.fault()));
+        } else if (this->reader.complete()) {
+            this->begin_exchange();
+        } else if (this->reader.has_head()) {
+            this->send_continue();
+        } else if (this->server->callbacks.now() - this->request_start >
+                   this->limits.head_timeout) {
+            this->refuse(status_timeout);
+        }
+    }
+
+    // Some clients send an empty line after a body; it belongs to no request.
+    void skip_blank_lines(evbuffer* input) const {
+        while (!this->reading && evbuffer_get_length(input) >= 2) {
+            std::string_view begin = contents(input);
+            if (!begin.starts_with("\r\n")) {
+                return;
+            }
+            evbuffer_drain(input, 2);
+        }
+    }
+
+    void begin_reading() {
+        if (this->reading) {
+            return;
+        }
+        this->remove_from_idle();
+        this->reading = true;
+        this->continue_checked = false;
+        this->request_start = this->server->callbacks.now();
+        this->set_read_timeout(this->limits.head_timeout);
+    }
+
+    void send_continue() {
+        if (this->continue_checked) {
+            return;
+        }
+        this->continue_checked = true;
+        if (http::same_name(http::value_of(this->reader.head().all, "Expect"), "100-continue")) {
+            this->write("HTTP/1.1 100 Continue\r\n\r\n");
+        }
+    }
+
+    void begin_exchange() {
+        this->set_read_timeout(base::milliseconds(0));
+        bufferevent_setwatermark(this->socket, EV_READ, 0, read_ahead_bytes);
+        this->reading = false;
+        this->exchange = std::make_shared<client_exchange>(
+            this->weak_from_this(), std::move(this->reader.head()), this->reader.take_body(),
+            this->request_start);
+        const auto held = this->exchange;
+        this->server->callbacks.on_request(held);
+    }
+
+    void refuse(int status) {
+        this->server->callbacks.on_refused(status);
+        this->write(http::write_response_head(status, {}, {http::framing::length, 0}, false));
+        this->end_exchange(false);
+    }
+
+    void end_exchange(bool keep) {
+        this->exchange.reset();
+        if (this->socket == nullptr) {
+            return;
+        }
+        // During shutdown connections are not kept alive: the client must not send another request
+        // on one that the end of the process will cut.
+        if (keep && !this->server->stopped) {
+            this->wait_for_request();
+            if (evbuffer_get_length(bufferevent_get_input(this->socket)) > 0) {
+                this->next_request_timer.set(base::micros(0));
+            }
+            return;
+        }
+        this->close_gracefully();
+    }
+
+    void on_output_drained() {
+        if (this->exchange != nullptr) {
+            const auto held = this->exchange;
+            held->drained.emit();
+            return;
+        }
+        if (this->final_response_written && this->socket != nullptr) {
+            shutdown(bufferevent_getfd(this->socket), SHUT_WR);
+            this->set_read_timeout(linger_time);
+        }
+    }
+
+    frontend_server* server;
+    std::int64_t number;
+    bufferevent* socket = nullptr;
+    client_limits limits;
+    http::request_reader reader;
+    adapters::timer next_request_timer;
+    exchange_ptr exchange;
+    base::instant request_start{};
+    base::instant idle_start{};
+    // Key in the server's idle list; 0 if the connection is not idle.
+    std::int64_t idle_key = 0;
+    // A request has been received in part.
+    bool reading = false;
+    bool continue_checked = false;
+    bool chunked = true;
+    bool keep_alive_after = true;
+    // The final response on this connection has been written.
+    bool final_response_written = false;
+};
+
+client_exchange::client_exchange(std::weak_ptr<client_connection> connection,
+                                 http::request_head head, std::string body, base::instant arrived)
+    : head(std::move(head)), body(std::move(body)), arrived(arrived),
+      connection(std::move(connection)) {}
+
+bool client_exchange::is_open() const {
+    const auto held = this->connection.lock();
+    return held != nullptr && held->is_open();
+}
+
+void client_exchange::respond(int status, const http::fields& fields, const std::string& text) {
+    if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
+        held->respond(status, fields, text);
+    }
+}
+
+void client_exchange::start(int status, const http::fields& fields) {
+    if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
+        held->start(status, fields);
+    }
+}
+
+void client_exchange::send(const std::string& bytes) {
+    if (const auto held = this->connection.lock(); held != nullptr && !bytes.empty()) {
+        held->send(bytes);
+    }
+}
+
+void client_exchange::finish() {
+    if (const auto held = this->connection.lock(); held != nullptr && held->is_open()) {
+        held->finish();
+    }
+}
+
+void client_exchange::abort() {
+    if (const auto held = this->connection.lock()) {
+        held->abort();
+    }
+}
+
+std::size_t client_exchange::unsent() const {
+    const auto held = this->connection.lock();
+    return held == nullptr ? 0 : held->unsent();
+}
+
+frontend_server::frontend_server(event_base* base, frontend_callbacks callbacks)
+    : base(base), callbacks(std::move(callbacks)),
+      accept_retry_timer(base, [this] { this->retry_accepting(); }) {}
+
+frontend_server::~frontend_server() {
+    if (this->listener != nullptr) {
+        evconnlistener_free(this->listener);
+    }
+}
+
+bool frontend_server::listen(const std::string& address) {
+    auto parsed = adapters::parse_address(address);
+    if (!parsed) {
+        return false;
+    }
+    this->listener = evconnlistener_new_bind(
+        this->base,
+        [](evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* raw) {
+            static_cast<frontend_server*>(raw)->accept(descriptor);
+        },
+        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, listen_backlog,
+        reinterpret_cast<sockaddr*>(&*parsed), sizeof *parsed);
+    if (this->listener == nullptr) {
+        return false;
+    }
+    evconnlistener_set_error_cb(this->listener, [](evconnlistener*, void* raw) {
+        static_cast<frontend_server*>(raw)->accept_failed();
+    });
+    return true;
+}
+
+void frontend_server::limit_connections(std::size_t count) {
+    this->connection_limit = count;
+    this->close_idle_connections();
+}
+
+void frontend_server::accept(int descriptor) {
+    const std::int64_t number = ++this->last_connection;
+    this->connections.emplace(number,
+                              std::make_shared<client_connection>(*this, number, descriptor));
+    this->close_idle_connections();
+    if (this->connections.size() >= this->connection_limit) {
+        this->pause_accepting();
+    }
+}
+
+// Pauses accepting: otherwise the event loop would retry at once for as long as the process lacks
+// descriptors.
+void frontend_server::accept_failed() {
+    if (errno == EMFILE) {
+        // Other parts of the process use more descriptors than planned, or the system limit is
+        // lower: lower the connection limit permanently.
+        constexpr std::size_t kept_quarters = 3;
+        this->connection_limit =
+            std::max<std::size_t>(1, this->connections.size() * kept_quarters / 4);
+    }
+    this->close_idle_connections();
+    this->pause_accepting();
+}
+
+void frontend_server::remove(std::int64_t number) {
+    this->connections.erase(number);
+    if (this->is_paused && this->connections.size() < this->connection_limit) {
+        this->resume_accepting();
+    }
+}
+
+void frontend_server::close_idle_connections() {
+    const base::instant now = this->callbacks.now();
+    const std::size_t spare =
+        std::clamp<std::size_t>(this->connection_limit / spare_divisor, 1, max_spare_connections);
+    auto next = this->idle.begin();
+    while (next != this->idle.end() &&
+           this->connections.size() + spare > this->connection_limit + this->closing_count) {
+        client_connection* oldest_idle = next->second;
+        ++next;
+        if (now - oldest_idle->idle_since() < min_idle_time) {
+            return;
+        }
+        if (!oldest_idle->has_unread()) {
+            ++this->idle_closed_count;
+            oldest_idle->close_gracefully();
+        }
+    }
+}
+
+void frontend_server::retry_accepting() {
+    if (!this->is_paused) {
+        return;
+    }
+    this->close_idle_connections();
+    if (this->connections.size() < this->connection_limit) {
+        this->resume_accepting();
+        return;
+    }
+    this->accept_retry_timer.set(accept_retry_period);
+}
+
+void frontend_server::pause_accepting() {
+    if (this->is_paused || this->listener == nullptr) {
+        return;
+    }
+    this->is_paused = true;
+    ++this->pause_count;
+    evconnlistener_disable(this->listener);
+    this->accept_retry_timer.set(accept_retry_period);
+}
+
+void frontend_server::resume_accepting() {
+    this->is_paused = false;
+    this->accept_retry_timer.clear();
+    if (this->listener != nullptr) {
+        evconnlistener_enable(this->listener);
+    }
+}
+
+std::uint16_t frontend_server::port() const {
+    sockaddr_in bound{};
+    socklen_t length = sizeof bound;
+    if (this->listener == nullptr ||
+        getsockname(evconnlistener_get_fd(this->listener), reinterpret_cast<sockaddr*>(&bound),
+                    &length) != 0) {
+        return 0;
+    }
+    return ntohs(bound.sin_port);
+}
+
+void frontend_server::close_after_responses() {
+    this->close_after_response = true;
+}
+
+void frontend_server::stop() {
+    this->close_after_response = true;
+    this->stopped = true;
+    if (this->listener != nullptr) {
+        evconnlistener_free(std::exchange(this->listener, nullptr));
+    }
+    const auto connections_copy = this->connections;
+    for (const auto& [number, connection] : connections_copy) {
+        if (connection->idle()) {
+            connection->close_gracefully();
+        }
+    }
+}
+
+std::size_t frontend_server::unsent() const {
+    std::size_t bytes = 0;
+    for (const auto& [number, connection] : this->connections) {
+        bytes += connection->unsent();
+    }
+    return bytes;
+}
+
+} // namespace camphorrail::proxy
--- /dev/null
+++ b/src/proxy/frontend_server.h
@@ -0,0 +1,140 @@
+#pragma once
+
+#include "adapters/timer.h"
+#include "base/units.h"
+#include "http/readers.h"
+#include "http/writers.h"
+
+#include <sigc++/sigc++.h>
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+
+struct event_base;
+struct evconnlistener;
+
+namespace camphorrail::proxy {
+
+class client_connection;
+
+// One client request and its response. The object may outlive the client's connection; whatever is
+// sent after the client has disconnected is dropped.
+class client_exchange {
+public:
+    client_exchange(std::weak_ptr<client_connection> connection, http::request_head head,
+                    std::string body, base::instant arrived);
+
+    http::request_head head;
+    std::string body;
+    base::instant arrived;
+
+    [[nodiscard]] bool is_open() const;
+    // Sends a complete response.
+    void respond(int status, const http::fields& fields, const std::string& body);
+    // Sends a response in pieces: `start`, any number of `send`, `finish`.
+    void start(int status, const http::fields& fields);
+    void send(const std::string& bytes);
+    void finish();
+    // Breaks the connection during a response that cannot be completed, so that the client cannot
+    // mistake it for a complete one.
+    void abort();
+    // Bytes of the response that the kernel has not accepted yet, which shows how far the client
+    // lags in reading.
+    [[nodiscard]] std::size_t unsent() const;
+
+    // The client closed its connection before the response was complete.
+    sigc::signal<void()> disconnected;
+    // The kernel has accepted all bytes sent so far.
+    sigc::signal<void()> drained;
+
+private:
+    std::weak_ptr<client_connection> connection;
+};
+
+using exchange_ptr = std::shared_ptr<client_exchange>;
+
+// Limits on the size of a request, and on how long the client may take to send it.
+struct client_limits {
+    http::read_limits read;
+    base::milliseconds head_timeout{3000};
+    base::milliseconds idle_timeout{15000};
+};
+
+// Callbacks into the owner of the server.
+struct frontend_callbacks {
+    std::function<void(const exchange_ptr&)> on_request;
+    std::function<client_limits()> limits;
+    std::function<base::instant()> now;
+    // A request was refused with this status before it was received completely.
+    std::function<void(int status)> on_refused;
+};
+
+// More connections than any process can have.
+constexpr std::size_t unbounded_connections = std::size_t{1} << 30U;
+
+// HTTP/1.1 server for clients, on libevent's bufferevents. evhttp is not used because it reads the
+// whole body before its handler runs, accepts ambiguous heads, and cannot distinguish a client that
+// disconnects from one that pipelines its next request.
+class frontend_server {
+public:
+    frontend_server(event_base* base, frontend_callbacks callbacks);
+    ~frontend_server();
+    frontend_server(const frontend_server&) = delete;
+    frontend_server& operator=(const frontend_server&) = delete;
+
+    bool listen(const std::string& address);
+    // The port the server listens on; 0 before `listen`.
+    [[nodiscard]] std::uint16_t port() const;
+    // From now on each connection is closed after its next response.
+    void close_after_responses();
+    // Stops accepting connections, and closes each connection as soon as it is idle.
+    void stop();
+    // Bytes of responses that the kernel has not accepted yet.
+    [[nodiscard]] std::size_t unsent() const;
+    [[nodiscard]] std::size_t open_connections() const { return this->connections.size(); }
+    // Limits the number of open connections. The connections that have been idle longest are closed
+    // to make room; if none is idle, accepting pauses until a connection is closed.
+    void limit_connections(std::size_t count);
+    // The connection limit in force. It is lower than the configured one if the process ran out of
+    // file descriptors earlier.
+    [[nodiscard]] std::size_t max_connections() const { return this->connection_limit; }
+    [[nodiscard]] bool paused() const { return this->is_paused; }
+    [[nodiscard]] std::int64_t pauses() const { return this->pause_count; }
+    [[nodiscard]] std::size_t idle_connections() const { return this->idle.size(); }
+    [[nodiscard]] std::int64_t idle_closed() const { return this->idle_closed_count; }
+
+private:
+    friend class client_connection;
+
+    void accept(int descriptor);
+    void accept_failed();
+    void remove(std::int64_t number);
+    void close_idle_connections();
+    void retry_accepting();
+    void pause_accepting();
+    void resume_accepting();
+
+    event_base* base;
+    frontend_callbacks callbacks;
+    evconnlistener* listener = nullptr;
+    // Ordered by connection number, so that iteration follows the order of arrival.
+    std::map<std::int64_t, std::shared_ptr<client_connection>> connections;
+    std::int64_t last_connection = 0;
+    // Connections that wait for a request, ordered by the time since which they have been idle.
+    std::map<std::int64_t, client_connection*> idle;
+    std::int64_t last_idle_key = 0;
+    // Connections that the server has finished sending on, but that the client has not closed yet.
+    std::size_t closing_count = 0;
+    std::size_t connection_limit = unbounded_connections;
+    adapters::timer accept_retry_timer;
+    bool is_paused = false;
+    std::int64_t pause_count = 0;
+    std::int64_t idle_closed_count = 0;
+    bool close_after_response = false;
+    bool stopped = false;
+};
+
+} // namespace camphorrail::proxy
--- a/src/proxy/load_exchange.h
+++ b/src/proxy/load_exchange.h
@@ -10,49 +10,50 @@
 
 namespace camphorrail::proxy {
 
-// What entries tell each other of their requests: what waits at each upstream, which prompts were
-// read where, and what was let through of teams' quotas. Entries that send prompts to the same
-// homes would else each see only their part of what waits there, and all overload the same engine
-// at once.
+// Exchanges load between entries: what is in flight at each upstream, which prompts were read
+// where, and how much of each team's quota was used. entries that place prompts by the same
+// affinity would otherwise each see only their own share of an engine's queue and overload it
+// together.
 //
-// Said as `entries/relays.h` tells: to the entries of the own zone, and to one of each other zone,
-// which passes it on. Mostly only what has changed is told, and all of it now and then, since a
-// relay may be lost with what it had not passed on.
+// Reports go to the entries of the same availability zone and to one entry of each other zone,
+// which relays them there (see `entries/relays.h`). Most reports hold only what has changed;
+// complete ones are sent periodically, since a relay may fail before it has forwarded a report.
 class load_exchange {
 public:
     explicit load_exchange(entry_context& context) : context(context) {}
 
-    // How long until something is to be told again.
-    [[nodiscard]] static base::milliseconds period(const entries::relays& to);
-    // What the entries of the own zone are to hear now, with what is passed on, and the relays of
-    // other zones; nothing where there is no news. `linked`: entries that a link stands to.
-    struct news {
+    // Time until the next report is due.
+    [[nodiscard]] static base::milliseconds period(const entries::relay_targets& to);
+    // The reports to send now: `near` to the entries of the same zone, including relayed loads, and
+    // `far` to the relays of other zones. A report is empty if nothing has changed.
+    // `connected_count` is the number of connected entries.
+    struct reports {
         std::optional<peering::load_report> near;
         std::optional<peering::load_report> far;
     };
-    news collect(std::size_t linked);
-    // Takes what was heard from an entry. `passes_on`: it is of another zone, and ours relies on
-    // this entry to hear of it.
-    void take(const peering::load_report& message, bool passes_on);
+    reports collect(std::size_t connected_count);
+    // Applies a peer's report. `should_relay` is set if the sender is in another zone and this
+    // entry forwards its reports within its own.
+    void receive(const peering::load_report& message, bool should_relay);
 
 private:
-    peering::entry_load own_load(std::size_t linked);
-    std::vector<peering::entry_load> relayed_loads();
-    void take_load(const peering::entry_load& load);
+    peering::entry_load own_load(std::size_t connected_count);
+    std::vector<peering::entry_load> take_pending_relays();
+    void apply_load(const peering::entry_load& load);
     [[nodiscard]] bool heartbeat_due();
 
-    struct relayed {
+    struct pending_relay {
         peering::entry_load load;
-        base::instant heard_at{};
+        base::instant received_at{};
     };
 
     entry_context& context;
-    // What was last told of each upstream.
-    std::map<base::upstream_id, peering::upstream_load> told;
-    std::vector<relayed> to_relay;
-    base::instant next_whole{};
+    // The load last reported for each upstream.
+    std::map<base::upstream_id, peering::upstream_load> last_reported;
+    std::vector<pending_relay> pending_relays;
+    base::instant next_complete_report{};
     base::instant next_heartbeat{};
-    bool told_something = false;
+    bool reported_any_load = false;
 };
 
 } // namespace camphorrail::proxy
--- /dev/null
+++ b/src/proxy/request_responses.cpp
@@ -0,0 +1,290 @@
+#include "proxy/request_flow.h"
+#include "proxy/request_limits.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace camphorrail::proxy {
+
+namespace {
+
+using adapters::importance;
+using base::milliseconds;
+
+// Bytes queued for a slow client above which its upstream is no longer read, and the largest
+// response that is buffered before it is sent. A larger response counts as malformed.
+constexpr std::size_t max_unsent_bytes = 256U << 10U;
+constexpr std::size_t max_buffered_bytes = 8U << 20U;
+constexpr int first_error_status = 500;
+constexpr int first_refusal_status = 300;
+// Time for which an upstream receives no new requests after it refused one, because it is full or
+// because it is changing weights.
+constexpr milliseconds overload_pause{40};
+constexpr milliseconds loading_pause{250};
+
+} // namespace
+
+bool request_flow::on_response_head(const http::response_head& head) {
+    const auto response = this->context.codec.parse_response(head);
+    if (response.request_id != this->metadata.request_id) {
+        // An upstream may send a second response to an earlier request; the response to this one is
+        // still to come.
+        this->context.log.line(importance::keep, "foreign_answer_dropped")
+            .text("request", this->metadata.request_id)
+            .text("upstream", this->current->choice.id.value)
+            .text("answers", response.request_id)
+            .number("status", head.status);
+        return false;
+    }
+    this->record_progress();
+    this->current->head_received = true;
+    this->current->head = head;
+    this->current->metadata = response;
+    if (auto* member = this->current_member(); member != nullptr && response.load) {
+        member->load = response.load;
+        member->load_at = this->context.now();
+    }
+    this->handle_upstream_signals();
+    return true;
+}
+
+// Applies the drain and pause signals in the response head at once: the end of the response may be
+// far off.
+void request_flow::handle_upstream_signals() {
+    const auto& response = this->current->metadata;
+    const auto upstream = instance_of(this->current->choice);
+    if (response.draining &&
+        record_drain_report(this->context, upstream, "", this->context.now())) {
+        this->context.broadcast_drain(upstream);
+    }
+    if (response.pause) {
+        this->context.log.line(importance::keep, "upstream_wants_pause")
+            .text("request", this->metadata.request_id)
+            .text("upstream", upstream.id.value)
+            .span("pause_ms", *response.pause);
+        if (auto* member = this->current_member()) {
+            fleet::record_pause(*member, *response.pause, this->context.now());
+        }
+    }
+}
+
+void request_flow::record_progress() {
+    this->last_progress = this->context.now();
+    if (auto* member = this->current_member()) {
+        member->last_byte_at = this->last_progress;
+    }
+}
+
+void request_flow::on_response_body(std::string bytes) {
+    this->record_progress();
+    const bool success = this->current->head.status < first_refusal_status;
+    if (success && this->request.route->kind == routes::request_kind::stream) {
+        this->forward_events(bytes);
+        return;
+    }
+    this->body_buffer += bytes;
+    if (this->body_buffer.size() > max_buffered_bytes) {
+        this->on_attempt_failed(call_failure::malformed);
+    }
+}
+
+void request_flow::forward_events(const std::string& bytes) {
+    const std::string complete_events = relay_events(this->relay, bytes);
+    if (complete_events.empty()) {
+        return;
+    }
+    this->record_first_byte();
+    this->record_pause();
+    if (this->state == response_state::none) {
+        this->state = response_state::streaming;
+        this->exchange->start(this->current->head.status, client_fields(this->current->head));
+    }
+    this->exchange->send(complete_events);
+    this->start_stall_timer();
+    if (this->exchange->unsent() > max_unsent_bytes) {
+        this->reading_paused = true;
+        this->current->connection->pause_reading();
+    }
+}
+
+// The first byte shows that the upstream has processed the prompt and holds its KV cache from now
+// on.
+void request_flow::record_first_byte() {
+    if (this->current->response_started) {
+        return;
+    }
+    this->current->response_started = true;
+    this->current->first_byte_at = this->context.now();
+    if (auto* member = this->current_member()) {
+        fleet::record_first_byte(member->local_work, this->current_work());
+    }
+    this->report_prompt_read();
+    if (!this->time_to_first_byte) {
+        this->time_to_first_byte = this->age();
+        this->context.metrics.observe_seconds(
+            "camphorrail_first_byte_seconds",
+            std::chrono::duration<double>(*this->time_to_first_byte).count(),
+            {{"kind", this->kind_name()}});
+    }
+}
+
+// Records gaps in the stream: to a client, a stream that stalls is late however early it began.
+void request_flow::record_pause() {
+    const base::instant now = this->context.now();
+    if (this->state == response_state::streaming) {
+        this->longest_pause =
+            std::max<base::micros>(this->longest_pause, now - this->last_forwarded_at);
+    }
+    this->last_forwarded_at = now;
+}
+
+// Empty if the upstream changed weights during the attempt, since the latency then does not depend
+// on the prompt.
+latency::first_byte_sample request_flow::first_byte_sample() const {
+    const auto& choice = this->current->choice;
+    const auto* member = this->current_member();
+    if (member == nullptr || member->weights_change_until > this->current->sent_at) {
+        return {};
+    }
+    const std::chrono::duration<double, std::milli> elapsed =
+        this->context.now() - this->current->sent_at;
+    const auto prefill_tokens = static_cast<double>(choice.prefill_tokens);
+    const auto all_tokens = static_cast<double>(choice.chain.total_tokens());
+    return {{prefill_tokens, static_cast<double>(choice.queued_tokens),
+             latency::attention_pairs(prefill_tokens, all_tokens)},
+            std::max(0.0, elapsed.count() - choice.fetch_ms)};
+}
+
+// Records that the upstream holds the prompt, here and for the report to the other entries.
+void request_flow::report_prompt_read() {
+    const auto& choice = this->current->choice;
+    const auto& chain = choice.chain;
+    const bool is_same_instance = this->current_member() != nullptr;
+    if (!is_same_instance || chain.shared_tokens() < kvcache::min_tracked_tokens) {
+        return;
+    }
+    kvcache::prompt_prefill read;
+    for (const auto& level : chain.levels) {
+        read.levels.push_back({level.key, level.part_tokens});
+    }
+    read.unshared_tokens = chain.unshared_tokens;
+    read.weights = choice.weights;
+    read.engine = instance_of(choice);
+    read.saved = !choice.save_to.empty();
+    read.first_byte = this->first_byte_sample();
+    proxy::record_prompt_read(this->context, read);
+    this->context.state.unreported_reads.push_back(std::move(read));
+}
+
+void request_flow::on_response_end() {
+    const auto self = this->shared_from_this();
+    if (this->current->metadata.not_run) {
+        this->on_upstream_refusal();
+        return;
+    }
+    ++this->possible_executions;
+    this->clear_suspicion();
+    const bool success = this->current->head.status < first_refusal_status;
+    if (this->state == response_state::streaming && !success) {
+        this->on_resume_failed();
+        return;
+    }
+    if (this->state == response_state::streaming) {
+        const int status = this->current->head.status;
+        record_upstream_success(this->context, instance_of(this->current->choice));
+        this->end_attempt();
+        this->exchange->finish();
+        this->finish("ok", status);
+        return;
+    }
+    this->on_full_response();
+}
+
+// An upstream that was asked to resume a stream responded with an error. The response is complete
+// but the stream is not: it resumes at another upstream or is aborted.
+void request_flow::on_resume_failed() {
+    const auto upstream = instance_of(this->current->choice);
+    this->context.log.line(importance::keep, "attempt_failed")
+        .text("request", this->metadata.request_id)
+        .text("kind", this->kind_name())
+        .text("upstream", upstream.id.value)
+        .text("why", "error_answer")
+        .flag("answer_begun", this->current->head_received)
+        .text("last_event", this->relay.last_event_id)
+        .span("after_ms", this->context.now() - this->current->sent_at);
+    record_upstream_error(this->context, upstream);
+    this->end_attempt();
+    this->criteria.tried.push_back(upstream.id);
+    this->retry_or_fail("upstream_error");
+}
+
+void request_flow::on_full_response() {
+    this->record_first_byte();
+    const http::response_head head = std::move(this->current->head);
+    const bool error = head.status >= first_error_status;
+    const auto upstream = instance_of(this->current->choice);
+    const bool in_time = this->time_left() > min_attempt_time;
+    if (error && in_time) {
+        record_upstream_error(this->context, upstream);
+    } else if (!error) {
+        record_upstream_success(this->context, upstream);
+    }
+    if (error && this->request.route->kind == routes::request_kind::idempotent &&
+        this->may_retry() && this->consume_retry()) {
+        this->end_attempt();
+        this->criteria.tried.push_back(upstream.id);
+        this->upstream_error = full_response{head, std::exchange(this->body_buffer, {})};
+        this->send_attempt();
+        return;
+    }
+    this->end_attempt();
+    this->exchange->respond(head.status, client_fields(head), this->body_buffer);
+    this->finish(error ? "upstream_error" : "ok", head.status);
+}
+
+// The upstream states that it has not executed the request, so it may go to another upstream even
+// if it may not be executed twice.
+void request_flow::on_upstream_refusal() {
+    const upstream_choice choice = this->current->choice;
+    auto* member = this->current_member();
+    const auto load = this->current->metadata.load;
+    const bool has_room = load && load->waiting == 0 && load->running < load->slots;
+    const bool outdated =
+        this->criteria.prompt != nullptr &&
+        choice.weights < newest_version(history_of(this->context.state, this->metadata.model));
+    if (member != nullptr) {
+        const bool is_changing_weights = outdated || this->current->metadata.wrong_instance;
+        member->busy_until =
+            std::max(member->busy_until,
+                     this->context.now() + (is_changing_weights ? loading_pause : overload_pause));
+    }
+    if (has_room && !outdated && !this->current->metadata.pause) {
+        record_upstream_failure(this->context, instance_of(choice), "refuses_with_room");
+    }
+    this->context.log.line(importance::keep, "refused_by_upstream")
+        .text("request", this->metadata.request_id)
+        .text("upstream", choice.id.value)
+        .number("status", this->current->head.status)
+        .number("weights_expected", choice.weights)
+        .number("weights_there", this->current->metadata.weights_version.value_or(0))
+        .number("running", load ? load->running : -1)
+        .number("waiting", load ? load->waiting : -1);
+    this->criteria.tried.push_back(choice.id);
+    this->end_attempt();
+    this->body_buffer.clear();
+    if (this->has_retries_left() && this->consume_retry()) {
+        this->send_attempt();
+        return;
+    }
+    this->fail_request("refused_by_upstream", base::code::overloaded, base::code::upstream_failed,
+                       std::nullopt);
+}
+
+void request_flow::on_client_drained() {
+    if (this->reading_paused && this->current) {
+        this->reading_paused = false;
+        this->current->connection->resume_reading();
+    }
+}
+
+} // namespace camphorrail::proxy
--- a/src/proxy/store_follower.cpp
+++ b/src/proxy/store_follower.cpp
@@ -1,6 +1,6 @@
 #include "proxy/store_follower.h"
 
-#include "entries/line_up.h"
+#include "entries/duty_ranking.h"
 
 namespace camphorrail::proxy {
 
@@ -8,103 +8,105 @@
 
 using adapters::importance;
 
-// The longest that the store lets a watch wait is 30 s.
+// The store limits a watch to 30 s.
 constexpr base::milliseconds watch_wait{20000};
-// A configuration of 70 teams takes 50 KB. Told by three entries to nineteen each, three of them in
-// a row filled links of 10 Mbit/s for two seconds.
-constexpr std::size_t most_told_bytes = 4096;
-// The store takes no more in one transaction.
-constexpr std::size_t most_expectations = 32;
-// The store takes no longer keys.
-constexpr std::size_t longest_key_bytes = 200;
-// Everything below the empty prefix.
+// Larger values are named but not included in a broadcast. A configuration of 70 teams takes 50 KB;
+// sent by three entries to nineteen each, three of them in a row filled 10 Mbit/s links for two
+// seconds.
+constexpr std::size_t max_inline_bytes = 4096;
+// The store's limit per transaction.
+constexpr std::size_t max_preconditions = 32;
+// The store's limit on the length of a key.
+constexpr std::size_t max_key_bytes = 200;
+// The empty prefix matches every key.
 const std::string all_keys;
 
 } // namespace
 
 store_follower::store_follower(entry_context& context, ports::platform platform)
     : context(context), platform(std::move(platform)) {
-    this->rules.proof_period = context.settings.platform.poll;
+    this->rules.verification_interval = context.settings.platform.poll;
 }
 
 void store_follower::start() {
     this->tick();
 }
 
-entries::store_duty_view store_follower::view() const {
+entries::store_sync_view store_follower::view() const {
     return {
-        entries::place_in_line(this->linked_entries(), this->context.settings.id, store_duty_name),
+        entries::duty_rank(this->connected_entries(), this->context.settings.id, store_duty_name),
         mirror::age(this->context.state.store, this->context.now()), this->context.now()};
 }
 
-bool store_follower::proving() const {
-    return this->view().place == 0;
+bool store_follower::is_verifier() const {
+    return this->view().rank == 0;
 }
 
 void store_follower::tick() {
-    const bool before = this->duty.following;
-    const auto due = entries::next_store_calls(this->duty, this->view(), this->rules);
-    this->note_following(before);
+    const bool was_following = this->sync_state.watches_store;
+    const auto due = entries::next_store_calls(this->sync_state, this->view(), this->rules);
+    this->log_following_change(was_following);
     if (due.read) {
         this->read_all();
     }
     if (due.watch) {
         this->watch();
     }
-    if (due.prove) {
-        this->prove();
+    if (due.verify) {
+        this->verify();
     }
 }
 
-void store_follower::note_following(bool before) {
-    if (this->duty.following == before) {
+void store_follower::log_following_change(bool was_following) {
+    if (this->sync_state.watches_store == was_following) {
         return;
     }
-    this->context.log.line(importance::keep, before ? "store_left" : "store_followed")
+    this->context.log.line(importance::keep, was_following ? "store_left" : "store_followed")
         .number("revision", this->context.state.store.revision)
         .span("config_age_ms", logged_config_age(this->context));
 }
 
-void store_follower::apply(std::int64_t revision_before, const std::set<std::string>& keys) {
-    if (this->duty.following) {
-        this->tell_changes(revision_before);
+void store_follower::publish(std::int64_t revision_before, const std::set<std::string>& keys) {
+    if (this->sync_state.watches_store) {
+        this->broadcast_changes(revision_before);
     }
     if (!keys.empty()) {
         this->changed(keys);
     }
 }
 
-// All that is newer than the revision before, and not only what was news here: a large value that
-// this entry has read itself may be newer than its mirror's revision. Left out, others would take
-// the later revision for theirs without it, and serve by an old configuration.
-void store_follower::tell_changes(std::int64_t revision_before) const {
+// Broadcasts everything newer than the previous revision, even if it was already known here: this
+// entry may have read a large value that is newer than the mirror's revision. If it were left out,
+// the other entries would adopt the new revision without that value and keep serving an old
+// configuration.
+void store_follower::broadcast_changes(std::int64_t revision_before) const {
     auto since = mirror::changes_since(this->context.state.store, revision_before);
     if (!since || since->revision == revision_before) {
         return;
     }
-    peering::store_changes told{revision_before, {}, std::move(*since)};
-    for (auto& each : told.changes.items) {
-        if (each.item.value.size() > most_told_bytes) {
-            told.omitted_keys.insert(each.item.key);
+    peering::store_changes message{revision_before, {}, std::move(*since)};
+    for (auto& each : message.changes.items) {
+        if (each.item.value.size() > max_inline_bytes) {
+            message.omitted_keys.insert(each.item.key);
             each.item.value.clear();
         }
     }
-    this->tell(told);
+    this->broadcast(message);
 }
 
 void store_follower::read_all() {
     const base::instant began = this->context.now();
     this->platform.read(all_keys, [this, began](base::result<ports::snapshot> read) {
-        const bool first = !this->duty.read_once;
+        const bool first = !this->sync_state.read_once;
         if (read.has_value()) {
             auto& store = this->context.state.store;
             const std::int64_t before = store.revision;
-            const auto changed = mirror::take_snapshot(store, read.value(), began);
-            mirror::note_revision(store, read.value().revision, began);
-            this->apply(before, changed);
+            const auto changed = mirror::apply_snapshot(store, read.value(), began);
+            mirror::record_revision(store, read.value().revision, began);
+            this->publish(before, changed);
         }
-        entries::note_store_read(this->duty, read.has_value(), this->view(), this->rules);
-        this->note_answer(read.has_value());
+        entries::record_store_read(this->sync_state, read.has_value(), this->view(), this->rules);
+        this->update_reachability(read.has_value());
         if (read.has_value() && first) {
             this->context.log.line(importance::keep, "store_read")
                 .number("revision", read.value().revision)
@@ -114,29 +116,30 @@
 }
 
 void store_follower::watch() {
-    const std::int64_t mine = ++this->generation;
+    const std::int64_t watch_generation = ++this->watch_generation;
     this->platform.watch(all_keys, this->context.state.store.revision, watch_wait,
-                         [this, mine](base::result<ports::changes> told) {
-                             const bool answered = told.has_value();
-                             const bool forgotten = answered && told.value().compacted;
-                             if (answered && !forgotten) {
+                         [this, watch_generation](base::result<ports::changes> update) {
+                             const bool answered = update.has_value();
+                             const bool compacted = answered && update.value().compacted;
+                             if (answered && !compacted) {
                                  auto& store = this->context.state.store;
                                  const std::int64_t before = store.revision;
-                                 this->apply(before, mirror::take_changes(store, told.value()));
+                                 this->publish(before,
+                                               mirror::apply_changes(store, update.value()));
                              }
-                             if (mine != this->generation) {
+                             if (watch_generation != this->watch_generation) {
                                  return;
                              }
-                             if (forgotten) {
+                             if (compacted) {
                                  this->context.log.line(importance::keep, "store_history_lost")
                                      .number("revision", this->context.state.store.revision);
                              }
-                             entries::note_watch_end(this->duty, answered, forgotten, this->view(),
-                                                     this->rules);
+                             entries::record_watch_end(this->sync_state, answered, compacted,
+                                                       this->view(), this->rules);
                          });
 }
 
-ports::transaction store_follower::operators_part() const {
+ports::transaction store_follower::make_verification() const {
     ports::transaction check;
     const auto& items = this->context.state.store.items;
     const auto expect = [&check](const ports::stored_value& item) {
@@ -146,32 +149,33 @@
     if (config != items.end()) {
         expect(config->second);
     } else {
-        // Before the first configuration its absence is what is proved.
+        // Until a first configuration exists, its absence is what is verified.
         check.preconditions.push_back({this->context.codec.operators_config_key, 0});
     }
-    for (const auto& item : mirror::items_below(this->context.state.store,
-                                                this->context.codec.target_weights_prefix)) {
+    for (const auto& item : mirror::items_with_prefix(this->context.state.store,
+                                                      this->context.codec.target_weights_prefix)) {
         expect(item);
     }
-    for (const auto& key : this->unnamed_weights()) {
-        if (check.preconditions.size() < most_expectations) {
+    for (const auto& key : this->missing_target_keys()) {
+        if (check.preconditions.size() < max_preconditions) {
             check.preconditions.push_back({key, 0});
         }
     }
     return check;
 }
 
-// The keys, missing so far, at which weights would be named for the models that upstreams hold.
-// With proofs that leave them out, an entry whose watch has fallen silent would pass for up to
-// date, and begin requests on weights that have been outdated for long.
-std::set<std::string> store_follower::unnamed_weights() const {
+// Returns the keys, absent so far, that would hold the target weights of models served by listed
+// upstreams. If the check left them out, an entry whose watch is cut off would seem up to date and
+// start requests on weights that have long been outdated.
+std::set<std::string> store_follower::missing_target_keys() const {
     std::set<std::string> keys;
-    for (const auto& [id, one] : this->context.state.fleet.members) {
-        for (const auto& [model, version] : one.listed.models) {
+    for (const auto& [id, member] : this->context.state.fleet.members) {
+        for (const auto& [model, version] : member.listed.models) {
             const std::string key = this->context.codec.target_weights_prefix + model.value;
-            // The names come from upstreams, and one that no key can hold must fail no proof.
-            const bool may_be_named = key.size() <= longest_key_bytes;
-            if (may_be_named && this->context.state.store.items.count(key) == 0) {
+            // Model names come from upstreams, so a name too long for a key must not make the whole
+            // transaction fail.
+            const bool fits_key = key.size() <= max_key_bytes;
+            if (fits_key && this->context.state.store.items.count(key) == 0) {
                 keys.insert(key);
             }
         }
@@ -179,25 +183,25 @@
     return keys;
 }
 
-void store_follower::prove() {
+void store_follower::verify() {
     const base::instant began = this->context.now();
     this->platform.commit(
-        this->operators_part(), [this, began](base::result<ports::commit_result> answer) {
+        this->make_verification(), [this, began](base::result<ports::commit_result> answer) {
             auto& store = this->context.state.store;
-            entries::proof_outcome outcome;
+            entries::verification_result outcome;
             outcome.answered = answer.has_value();
             outcome.unchanged = outcome.answered && answer.value().applied;
             outcome.behind = outcome.unchanged && answer.value().revision > store.revision;
             if (outcome.unchanged) {
-                mirror::prove(store, began);
-                mirror::note_revision(store, answer.value().revision, began);
+                mirror::mark_verified(store, began);
+                mirror::record_revision(store, answer.value().revision, began);
             }
-            entries::note_proof(this->duty, outcome, this->view(), this->rules);
-            this->note_answer(outcome.answered);
+            entries::record_verification(this->sync_state, outcome, this->view(), this->rules);
+            this->update_reachability(outcome.answered);
         });
 }
 
-void store_follower::note_answer(bool answered) {
+void store_follower::update_reachability(bool answered) {
     if (answered == this->reachable) {
         return;
     }
--- a/src/proxy/upstream_list.cpp
+++ b/src/proxy/upstream_list.cpp
@@ -6,68 +6,68 @@
 
 namespace {
 
-bool says_its_start(const ports::listed_upstream& one) {
-    return one.incarnation != base::upstream_incarnation{};
+bool has_incarnation(const ports::listed_upstream& upstream) {
+    return upstream.incarnation != base::upstream_incarnation{};
 }
 
-// An entry of the list, and the store's revision at which it was last written.
+// A record of the list, and the store's revision at which it was last written.
 struct list_entry {
     ports::listed_upstream upstream;
     std::int64_t revision = 0;
 };
 
-// Leaves out the entries that no upstream has written.
-void leave_out_foreign(std::vector<list_entry>& entries, upstream_list& list) {
-    const auto saying = static_cast<std::size_t>(
+// Removes the records that were not written by an upstream.
+void remove_foreign_entries(std::vector<list_entry>& entries, upstream_list& list) {
+    const auto with_incarnation = static_cast<std::size_t>(
         std::count_if(entries.begin(), entries.end(),
-                      [](const auto& each) { return says_its_start(each.upstream); }));
-    if (2 * saying <= entries.size()) {
+                      [](const auto& entry) { return has_incarnation(entry.upstream); }));
+    if (2 * with_incarnation <= entries.size()) {
         return;
     }
-    for (const auto& each : entries) {
-        if (!says_its_start(each.upstream)) {
-            list.unreadable[each.upstream.id] = each.revision;
+    for (const auto& entry : entries) {
+        if (!has_incarnation(entry.upstream)) {
+            list.unreadable[entry.upstream.id] = entry.revision;
         }
     }
-    std::erase_if(entries, [](const auto& each) { return !says_its_start(each.upstream); });
+    std::erase_if(entries, [](const auto& entry) { return !has_incarnation(entry.upstream); });
 }
 
-// A process that has ended writes nothing any more, so the entry that was written last is the one
-// that has the address now.
-void leave_out_replaced(std::vector<list_entry>& entries, upstream_list& list) {
+// A process that has ended writes nothing, so of all records with the same address the one written
+// last belongs to the process that has the address now.
+void remove_replaced_entries(std::vector<list_entry>& entries, upstream_list& list) {
     std::map<std::string, const list_entry*> holders;
-    for (const auto& each : entries) {
-        auto& holder = holders[each.upstream.address];
-        holder = holder == nullptr || holder->revision < each.revision ? &each : holder;
+    for (const auto& entry : entries) {
+        auto& holder = holders[entry.upstream.address];
+        holder = holder == nullptr || holder->revision < entry.revision ? &entry : holder;
     }
-    for (const auto& each : entries) {
-        const auto* holder = holders.at(each.upstream.address);
-        if (holder != &each) {
-            list.replaced[each.upstream.id] = holder->upstream.id;
+    for (const auto& entry : entries) {
+        const auto* holder = holders.at(entry.upstream.address);
+        if (holder != &entry) {
+            list.replaced[entry.upstream.id] = holder->upstream.id;
         }
     }
     std::erase_if(entries,
-                  [&](const auto& each) { return list.replaced.count(each.upstream.id) > 0; });
+                  [&](const auto& entry) { return list.replaced.count(entry.upstream.id) > 0; });
 }
 
 } // namespace
 
 upstream_list read_upstream_list(const mirror::store_mirror& store,
-                                 const ports::platform_codec& words) {
+                                 const ports::platform_codec& codec) {
     upstream_list list;
     std::vector<list_entry> entries;
-    for (const auto& item : mirror::items_below(store, words.upstreams_prefix)) {
-        auto read = words.parse_upstream(item.key, item.value);
+    for (const auto& item : mirror::items_with_prefix(store, codec.upstreams_prefix)) {
+        auto read = codec.parse_upstream(item.key, item.value);
         if (read.has_value()) {
             entries.push_back({std::move(read.value()), item.mod_revision});
         } else {
-            list.unreadable[{item.key.substr(words.upstreams_prefix.size())}] = item.mod_revision;
+            list.unreadable[{item.key.substr(codec.upstreams_prefix.size())}] = item.mod_revision;
         }
     }
-    leave_out_foreign(entries, list);
-    leave_out_replaced(entries, list);
-    for (auto& each : entries) {
-        list.upstreams.push_back(std::move(each.upstream));
+    remove_foreign_entries(entries, list);
+    remove_replaced_entries(entries, list);
+    for (auto& entry : entries) {
+        list.upstreams.push_back(std::move(entry.upstream));
     }
     return list;
 }
--- a/src/proxy/weights_loader.h
+++ b/src/proxy/weights_loader.h
@@ -10,65 +10,68 @@
 
 namespace camphorrail::proxy {
 
-// Who gives orders now, and under which name and fence.
-struct order_authority {
-    // Whether an order may be given now.
-    std::function<bool()> may_order;
+// The leadership under which load commands are issued: the holder's name and its fencing token.
+struct command_authority {
+    // Whether a command may be issued now.
+    std::function<bool()> may_issue_commands;
     std::function<std::string()> name;
-    std::function<std::int64_t()> fence;
+    std::function<std::int64_t()> fencing_token;
 };
 
-// Brings the upstreams to the weights that operators name, while this entry leads.
+// Loads the target weights set by operators on all upstreams while this entry is the leader.
 class weights_loader {
 public:
-    weights_loader(entry_context& context, order_authority authority);
+    weights_loader(entry_context& context, command_authority authority);
 
-    // Gives the orders that are due.
+    // Issues the load commands that are due.
     void tick();
 
 private:
-    // An order that was sent.
-    struct order_sent {
+    // A load command that is in progress.
+    struct pending_load {
         std::int64_t version = 0;
-        base::instant at;
+        base::instant started_at;
         bool accepted = false;
-        base::instant next_look{};
-        // It is not sent yet: the upstream has been getting nothing new since then.
+        base::instant next_state_query{};
+        // Set while the upstream is draining and the command has not been sent: the start of the
+        // drain.
         std::optional<base::instant> drained_since;
     };
 
-    // What is known of an upstream's orders, by its life. Its count of orders starts anew with
-    // each.
-    void forget_earlier_lives();
-    // Takes what an upstream says of its own life; false where that is not the one that it is in as
-    // far as is known here.
-    bool take_incarnation(const base::upstream_instance& asked, base::upstream_incarnation said);
-    void take_state(const base::upstream_instance& upstream, const ports::upstream_state& state);
+    // Discards what is known of commands to previous incarnations. An upstream's command counter
+    // restarts with each incarnation.
+    void discard_previous_incarnations();
+    // Applies the incarnation an upstream reports for itself; returns false if that is not the
+    // current one as far as known here.
+    bool accept_incarnation(const base::upstream_instance& queried,
+                            base::upstream_incarnation reported);
+    void handle_state(const base::upstream_instance& upstream, const ports::upstream_state& state);
     void load_model(const base::model_id& model, const weights_history& history);
-    [[nodiscard]] weights::load_candidate candidate_of(const fleet::member& one,
-                                                       const base::model_id& model,
-                                                       const weights_history& history);
-    void order(const base::upstream_id& id, const base::model_id& model, std::int64_t version);
-    // What is under way in an upstream's pool, and what the others there can take.
-    [[nodiscard]] weights::pool_load pool_load_beside(const fleet::member& changing) const;
-    [[nodiscard]] ports::in_flight_policy running_requests_of(const fleet::member& one) const;
-    void drain(fleet::member& one, std::int64_t version);
-    void send_order(const fleet::member& one, const base::model_id& model, std::int64_t version,
-                    std::int64_t expected_orders);
-    void order_the_drained(const base::model_id& model, std::int64_t version);
-    void keep_away(fleet::member& one, base::milliseconds span);
-    void ask_state(const base::upstream_id& id);
-    void note_answer(const base::upstream_instance& upstream, std::int64_t version,
-                     ports::load_command_result outcome);
+    [[nodiscard]] weights::load_candidate make_candidate(const fleet::member& member,
+                                                         const base::model_id& model,
+                                                         const weights_history& history);
+    void begin_load(const base::upstream_id& id, const base::model_id& model, std::int64_t version);
+    // The in-flight requests of an upstream's pool and the slots of its other members.
+    [[nodiscard]] weights::pool_load pool_load_without(const fleet::member& changing) const;
+    [[nodiscard]] ports::in_flight_policy
+    choose_in_flight_policy(const fleet::member& member) const;
+    void drain(fleet::member& member, std::int64_t version);
+    void send_load_command(const fleet::member& member, const base::model_id& model,
+                           std::int64_t version, std::int64_t expected_commands);
+    void load_drained(const base::model_id& model, std::int64_t version);
+    void pause_requests(fleet::member& member, base::milliseconds span);
+    void query_state(const base::upstream_id& id);
+    void handle_answer(const base::upstream_instance& upstream, std::int64_t version,
+                       ports::load_command_result outcome);
 
     entry_context& context;
-    order_authority leader;
-    std::map<base::upstream_id, order_sent> orders;
-    // What upstreams said when asked, newer than the platform's list.
-    std::map<base::upstream_id, std::int64_t> accepted_orders;
+    command_authority authority;
+    std::map<base::upstream_id, pending_load> pending_loads;
+    // The command counters that upstreams reported, newer than the platform's list.
+    std::map<base::upstream_id, std::int64_t> accepted_commands;
     std::map<base::upstream_id, base::instant> loaded_at;
-    // The lives of upstreams that the above is about.
-    std::map<base::upstream_id, base::upstream_incarnation> lives;
+    // The incarnations that the above state belongs to.
+    std::map<base::upstream_id, base::upstream_incarnation> incarnations;
 };
 
 } // namespace camphorrail::proxy
--- a/src/routing/router_tests.cpp
+++ b/src/routing/router_tests.cpp
@@ -22,8 +22,8 @@
 }
 
 void report(routing::pool_view& pool, std::size_t index, base::micros wait, base::instant now,
-            std::int64_t life = 1) {
-    routing::note_load(pool, pool.upstreams[index].id, wait, prefill_us, life, now);
+            std::int64_t incarnation = 1) {
+    routing::record_load(pool, pool.upstreams[index].id, wait, prefill_us, incarnation, now);
 }
 
 } // namespace
@@ -38,50 +38,52 @@
     for (std::size_t index = 0; index < pool.upstreams.size(); ++index) {
         report(pool, index, base::micros{0}, now);
     }
-    const auto pick = [&](const routing::candidate_request& request, base::instant when) {
-        return routing::choose(pool, table, request, when, random, rules);
+    const auto choose = [&](const routing::routing_request& request, base::instant when) {
+        return routing::choose_upstream(pool, table, request, when, random, rules);
     };
-    const auto first = pick({&chain}, now);
+    const auto first = choose({&chain}, now);
     REQUIRE(first);
     const auto home = first->index;
-    routing::note_served(pool, table, pool.upstreams[home].id, chain, first->basis, {0}, now,
-                         rules);
+    routing::record_served(pool, table, pool.upstreams[home].id, chain, first->basis, {0}, now,
+                           rules);
 
-    SECTION("goes back to where the prefix was served") {
-        CHECK(pick({&chain}, now)->index == home);
+    SECTION("returns to the upstream that served the prefix") {
+        CHECK(choose({&chain}, now)->index == home);
     }
 
-    SECTION("goes elsewhere once waiting there costs more than computing the prefix again") {
+    SECTION("switches upstreams once waiting costs more than prefilling the prefix again") {
         report(pool, home, base::seconds(5), now);
-        CHECK(pick({&chain}, now)->index != home);
+        CHECK(choose({&chain}, now)->index != home);
     }
 
-    // The engine crashed and came back with an empty cache. Hints of its earlier life would send
-    // its old prefixes there as if they were cached, and each would be computed again.
-    SECTION("does not trust what was seen in an earlier life of the engine") {
-        const auto before = pick({&chain}, now)->expected_cached;
+    // The engine crashed and restarted with an empty cache. Hints from its earlier incarnation
+    // would direct its former prefixes there as if they were cached, and each would be prefilled
+    // again.
+    SECTION("ignores hints from an earlier incarnation of the engine") {
+        const auto before = choose({&chain}, now)->expected_cached;
         report(pool, home, base::micros{0}, now, 2);
         const auto later = now + base::seconds(60);
-        const auto after = pick({&chain}, later);
+        const auto after = choose({&chain}, later);
         CHECK(after->expected_cached.value <= before.value);
         const auto* record = routing::find(table, 11);
         REQUIRE(record != nullptr);
         CHECK(record->holders[0].engine_incarnation != 2);
     }
 
-    SECTION("never picks one that leaves, is ejected or was tried, and says so when none is left") {
-        routing::candidate_request request{&chain};
+    SECTION("never picks an upstream that is draining, ejected or already tried; returns nothing "
+            "if none is left") {
+        routing::routing_request request{&chain};
         for (auto& view : pool.upstreams) {
             if (&view != &pool.upstreams[3]) {
-                view.health.leaving = true;
+                view.health.draining = true;
             }
         }
-        CHECK(pick(request, now)->index == 3);
-        request.exclude.push_back(pool.upstreams[3].id);
-        CHECK_FALSE(pick(request, now));
+        CHECK(choose(request, now)->index == 3);
+        request.excluded.push_back(pool.upstreams[3].id);
+        CHECK_FALSE(choose(request, now));
     }
 
-    SECTION("keeps what it knows of the upstreams that stay when the members change") {
+    SECTION("keeps the state of remaining upstreams when the members change") {
         report(pool, home, base::seconds(3), now);
         const auto id = pool.upstreams[home].id;
         routing::set_members(pool, {{"new"}, id}, {{}, {}});
--- a/src/weights/drain_tests.cpp
+++ b/src/weights/drain_tests.cpp
@@ -17,38 +17,38 @@
     return base::instant(milliseconds(ms));
 }
 
-// What is left of a pool after a loss, under load: answers of three and a half seconds that may go
-// on at another upstream, and calls of one second that may not.
-struct loaded_pool {
+// The remaining upstreams of a pool under load after a loss: responses of three and a half seconds
+// that can be continued on another upstream, and requests of one second that can't.
+struct simulated_pool {
     static constexpr int step_ms = 20;
-    static constexpr int answer_ms = 3400;
-    static constexpr int call_ms = 1000;
+    static constexpr int response_ms = 3400;
+    static constexpr int request_ms = 1000;
     static constexpr int load_ms = 420;
     static constexpr std::size_t slots = 48;
 
     struct upstream {
         weights::load_candidate seen;
-        std::vector<int> answers_end;
-        std::vector<int> calls_end;
+        std::vector<int> response_ends;
+        std::vector<int> request_ends;
         int drained_since = -1;
         int changed_at = -1;
     };
 
-    std::vector<upstream> all;
-    int moved_answers = 0;
-    // Requests that came to an upstream whose slots were all taken.
-    int waited = 0;
-    int answers = 0;
-    int answers_a_second = 0;
+    std::vector<upstream> upstreams;
+    int moved_responses = 0;
+    // Requests that were sent to an upstream without a free slot.
+    int delayed_requests = 0;
+    int responses = 0;
+    int responses_per_second = 0;
     std::size_t fewest_serving = 0;
-    int next_answer = 0;
-    int next_call = 0;
+    int next_response = 0;
+    int next_request = 0;
 
-    loaded_pool(std::size_t count, int answers_a_second)
-        : all(count), answers_a_second(answers_a_second), fewest_serving(count) {
+    simulated_pool(std::size_t count, int responses_per_second)
+        : upstreams(count), responses_per_second(responses_per_second), fewest_serving(count) {
         for (std::size_t each = 0; each < count; ++each) {
-            this->all[each].seen.id = {"e" + std::to_string(10 + each)};
-            this->all[each].seen.version = 1;
+            this->upstreams[each].seen.id = {"e" + std::to_string(10 + each)};
+            this->upstreams[each].seen.version = 1;
         }
     }
 
@@ -56,45 +56,48 @@
         return one.drained_since < 0 && one.changed_at < 0;
     }
 
-    static std::size_t work_of(const upstream& one) {
-        return one.answers_end.size() + one.calls_end.size();
+    static std::size_t requests_at(const upstream& one) {
+        return one.response_ends.size() + one.request_ends.size();
     }
 
     [[nodiscard]] static bool is_less_busy(const upstream& left, const upstream& right) {
-        return std::pair(!serves(left), work_of(left)) < std::pair(!serves(right), work_of(right));
+        return std::pair(!serves(left), requests_at(left)) <
+               std::pair(!serves(right), requests_at(right));
     }
 
     upstream& least_busy() {
-        auto& found = *std::min_element(this->all.begin(), this->all.end(), is_less_busy);
-        this->waited += work_of(found) >= slots ? 1 : 0;
+        auto& found =
+            *std::min_element(this->upstreams.begin(), this->upstreams.end(), is_less_busy);
+        this->delayed_requests += requests_at(found) >= slots ? 1 : 0;
         return found;
     }
 
-    [[nodiscard]] weights::pool_load load_beside(const upstream& changing) const {
+    [[nodiscard]] weights::pool_load load_without(const upstream& changing) const {
         weights::pool_load found;
-        for (const auto& each : this->all) {
-            found.in_flight += static_cast<std::int64_t>(work_of(each));
-            const bool is_there = serves(each) && &each != &changing;
-            found.slots += is_there ? static_cast<std::int64_t>(slots) : 0;
+        for (const auto& each : this->upstreams) {
+            found.in_flight += static_cast<std::int64_t>(requests_at(each));
+            const bool is_serving_other = serves(each) && &each != &changing;
+            found.slots += is_serving_other ? static_cast<std::int64_t>(slots) : 0;
         }
         return found;
     }
 
-    // 60 calls a second beside the answers.
+    // 60 calls per second in addition to the responses.
     void take_requests(int now) {
-        for (; this->next_answer <= now * this->answers_a_second / 1000; ++this->next_answer) {
-            this->least_busy().answers_end.push_back(now + answer_ms);
-            ++this->answers;
+        for (; this->next_response <= now * this->responses_per_second / 1000;
+             ++this->next_response) {
+            this->least_busy().response_ends.push_back(now + response_ms);
+            ++this->responses;
         }
-        for (; this->next_call <= now * 60 / 1000; ++this->next_call) {
-            this->least_busy().calls_end.push_back(now + call_ms);
+        for (; this->next_request <= now * 60 / 1000; ++this->next_request) {
+            this->least_busy().request_ends.push_back(now + request_ms);
         }
     }
 
     void finish(upstream& one, int now) {
         const auto is_over = [now](int end) { return end <= now; };
-        std::erase_if(one.answers_end, is_over);
-        std::erase_if(one.calls_end, is_over);
+        std::erase_if(one.response_ends, is_over);
+        std::erase_if(one.request_ends, is_over);
         if (one.changed_at >= 0 && now >= one.changed_at) {
             one.changed_at = -1;
             one.seen.loading = false;
@@ -106,14 +109,14 @@
     void change(upstream& one, int now) {
         one.drained_since = -1;
         one.changed_at = now + load_ms;
-        if (one.calls_end.empty()) {
-            for (const int end : std::exchange(one.answers_end, {})) {
-                this->least_busy().answers_end.push_back(end);
-                ++this->moved_answers;
+        if (one.request_ends.empty()) {
+            for (const int end : std::exchange(one.response_ends, {})) {
+                this->least_busy().response_ends.push_back(end);
+                ++this->moved_responses;
             }
         }
-        // What is not cut off is finished first.
-        for (const auto* ends : {&one.answers_end, &one.calls_end}) {
+        // Requests that are not aborted are completed first.
+        for (const auto* ends : {&one.response_ends, &one.request_ends}) {
             for (const int end : *ends) {
                 one.changed_at = std::max(one.changed_at, end + load_ms);
             }
@@ -121,50 +124,51 @@
     }
 
     void drain(upstream& one, int now) {
-        const auto unrepeatable = static_cast<std::int64_t>(one.calls_end.size());
+        const auto unrepeatable = static_cast<std::int64_t>(one.request_ends.size());
         if (weights::is_drained({milliseconds(now - one.drained_since), unrepeatable}, {})) {
             this->change(one, now);
         }
     }
 
-    void step(int now, bool named) {
-        for (auto& each : this->all) {
+    void step(int now, bool published) {
+        for (auto& each : this->upstreams) {
             this->finish(each, now);
-            each.seen.in_flight = static_cast<std::int64_t>(work_of(each));
+            each.seen.in_flight = static_cast<std::int64_t>(requests_at(each));
             if (each.drained_since >= 0) {
                 this->drain(each, now);
             }
         }
         std::vector<weights::load_candidate> seen;
-        for (const auto& each : this->all) {
+        for (const auto& each : this->upstreams) {
             seen.push_back(each.seen);
         }
-        const auto due =
-            named ? weights::plan_loads(seen, 2, at(now), {}) : std::vector<base::upstream_id>{};
+        const auto due = published ? weights::plan_loads(seen, 2, at(now), {})
+                                   : std::vector<base::upstream_id>{};
         for (const auto& id : due) {
-            const auto found = std::find_if(this->all.begin(), this->all.end(),
+            const auto found = std::find_if(this->upstreams.begin(), this->upstreams.end(),
                                             [&id](const auto& one) { return one.seen.id == id; });
             found->seen.loading = true;
-            if (weights::is_crowded(this->load_beside(*found), {})) {
+            if (weights::is_crowded(this->load_without(*found), {})) {
                 found->changed_at = now + load_ms;
             } else {
                 found->drained_since = now;
             }
         }
-        const auto serving = std::count_if(this->all.begin(), this->all.end(), serves);
+        const auto serving = std::count_if(this->upstreams.begin(), this->upstreams.end(), serves);
         this->fewest_serving = std::min(this->fewest_serving, static_cast<std::size_t>(serving));
         this->take_requests(now);
     }
 
-    // Plays until all hold the second version, and gives how long that took after it was named.
-    int run(int named_ms) {
+    // Simulates until all upstreams hold the second version; returns the time that took after its
+    // publication.
+    int run(int published_ms) {
         constexpr int longest_ms = 60'000;
         for (int now = 0; now < longest_ms; now += step_ms) {
-            this->step(now, now >= named_ms);
-            const bool done = std::all_of(this->all.begin(), this->all.end(),
+            this->step(now, now >= published_ms);
+            const bool done = std::all_of(this->upstreams.begin(), this->upstreams.end(),
                                           [](const auto& one) { return one.seen.version == 2; });
             if (done) {
-                return now - named_ms;
+                return now - published_ms;
             }
         }
         return longest_ms;
@@ -174,39 +178,43 @@
 } // namespace
 
 TEST_CASE("an upstream is drained before its weights change", "[weights]") {
-    SECTION("for a moment, for what ends by itself") {
+    SECTION("the minimum time passes even without requests that can't be retried") {
         CHECK_FALSE(weights::is_drained({milliseconds(300), 0}, {}));
         CHECK(weights::is_drained({milliseconds(400), 0}, {}));
     }
-    SECTION("for longer while calls are under way that would be lost") {
+    SECTION("it waits longer for requests that can't be retried") {
         CHECK_FALSE(weights::is_drained({milliseconds(1100), 1}, {}));
     }
-    SECTION("but not for ever") {
+    SECTION("it stops waiting after the maximum time") {
         CHECK(weights::is_drained({milliseconds(1200), 1}, {}));
     }
 }
 
-// The failure: each upstream of a pool that has lost some finishes answers of several seconds
-// before it changes, so that a third of them serve nobody for as long as the new weights go round.
-TEST_CASE("new weights go through a loaded pool before the old ones are outdated for too long",
-          "[weights]") {
+// Guards against draining until all responses have ended. In a pool that has lost some upstreams,
+// each of the remaining ones would finish responses of several seconds before its change, so that a
+// third of them would not serve during the rollout.
+TEST_CASE(
+    "new weights are rolled out in a loaded pool before the old ones are outdated for too long",
+    "[weights]") {
     constexpr int bound_ms = 10'000;
-    loaded_pool pool(17, 80);
+    simulated_pool pool(17, 80);
     CHECK(pool.run(6000) < bound_ms);
 
-    SECTION("while two in three upstreams serve") {
-        CHECK(pool.fewest_serving * 3 >= pool.all.size() * 2);
+    SECTION("two thirds of the upstreams keep serving") {
+        CHECK(pool.fewest_serving * 3 >= pool.upstreams.size() * 2);
     }
-    SECTION("and fewer than half of the answers have to go on elsewhere") {
-        CHECK(pool.moved_answers < pool.answers / 2);
+    SECTION("fewer than half of the responses are continued on another upstream") {
+        CHECK(pool.moved_responses < pool.responses / 2);
     }
 }
 
-// The failure: upstreams of a pool that has hardly any slots left are drained one after the other,
-// and what they cut off and what comes meanwhile waits at the rest.
-TEST_CASE("nobody waits for a slot while new weights go through a crowded pool", "[weights]") {
-    loaded_pool pool(17, 175);
+// Guards against draining in a pool with hardly any free slots. If its upstreams were drained one
+// after the other, the requests that they abort and the new ones would wait at the remaining
+// upstreams.
+TEST_CASE("no request waits for a slot while new weights are rolled out in a crowded pool",
+          "[weights]") {
+    simulated_pool pool(17, 175);
     CHECK(pool.run(6000) < 10'000);
-    CHECK(pool.waited == 0);
-    CHECK(pool.moved_answers == 0);
+    CHECK(pool.delayed_requests == 0);
+    CHECK(pool.moved_responses == 0);
 }
--- a/src/weights/term.cpp
+++ b/src/weights/term.cpp
@@ -4,26 +4,28 @@
 
 namespace camphorrail::weights {
 
-term begin_term(std::int64_t fence, std::int64_t lease, const last_orderer& before,
-                base::instant asked, base::instant won, const term_rules& rules) {
-    term begun;
-    begun.fence = fence;
-    begun.lease = lease;
-    begun.from = won;
-    if (before.other) {
-        const base::instant ended = before.seen_ended.value_or(won);
-        begun.from = std::max(won, ended + rules.apart);
+term begin_term(std::int64_t fencing_token, std::int64_t lease_id,
+                const last_order_issuer& previous, base::instant requested_at,
+                base::instant elected_at, const term_rules& rules) {
+    term started;
+    started.fencing_token = fencing_token;
+    started.lease_id = lease_id;
+    started.valid_from = elected_at;
+    if (previous.is_other_process) {
+        const base::instant ended = previous.ended_at.value_or(elected_at);
+        started.valid_from = std::max(elected_at, ended + rules.handover_gap);
     }
-    begun.until = asked + rules.lease - rules.margin;
-    return begun;
+    started.valid_until = requested_at + rules.lease_duration - rules.margin;
+    return started;
 }
 
-void renew(term& held, base::instant asked, const term_rules& rules) {
-    held.until = std::max(held.until, asked + rules.lease - rules.margin);
+void renew_term(term& current, base::instant requested_at, const term_rules& rules) {
+    current.valid_until =
+        std::max(current.valid_until, requested_at + rules.lease_duration - rules.margin);
 }
 
-bool may_order(const term& held, base::instant now) {
-    return held.fence > 0 && now >= held.from && now < held.until;
+bool may_issue_orders(const term& current, base::instant now) {
+    return current.fencing_token > 0 && now >= current.valid_from && now < current.valid_until;
 }
 
 } // namespace camphorrail::weights
--- a/tests/proxy_world.cpp
+++ b/tests/proxy_world.cpp
@@ -211,7 +211,9 @@
               [this](const base::upstream_instance& upstream) {
                   this->told.emplace_back(peering::upstream_draining{upstream});
               },
-              [this](const proxy::broken_attempt& broken) { this->crashes.note_broken(broken); }},
+              [this](const proxy::broken_attempt& broken) {
+                  this->crashes.record_broken_attempt(broken);
+              }},
       crashes(this->context),
       server(this->loop.base(),
              {[this](const proxy::exchange_ptr& exchange) {
@@ -222,12 +224,14 @@
                   };
                   flow->begin();
               },
-              [] { return proxy::caller_bounds{}; }, this->context.now, [](int) {}}) {
-    this->crashes.tell = [this](const peering::message& message) { this->told.push_back(message); };
-    this->crashes.held_back = [this](const quarantine::hold& held, bool) {
+              [] { return proxy::client_limits{}; }, this->context.now, [](int) {}}) {
+    this->crashes.broadcast = [this](const peering::message& message) {
+        this->told.push_back(message);
+    };
+    this->crashes.quarantine_started = [this](const quarantine::quarantined_request& held, bool) {
         const auto under_way = this->flows;
         for (const auto& flow : under_way) {
-            flow->call_off(held);
+            flow->cancel_if_quarantined(held);
         }
     };
     this->settings.peer_listen = own_address(18994);
@@ -251,7 +255,7 @@
                            route("resume", request_kind::stream, 2, true)};
     this->config.teams = {{.id = {"north"}, .keys = {"k1"}}};
     this->config.pools[{"pool"}] = {.id = {"pool"}};
-    routes::index(this->config);
+    routes::build_indexes(this->config);
     this->prove_config();
     this->server.listen("127.0.0.1:0");
 }
@@ -275,7 +279,7 @@
 
 void proxy_world::prove_config() {
     this->state.config = std::make_shared<const routes::operators_config>(this->config);
-    mirror::prove(this->state.store, this->context.now());
+    mirror::mark_verified(this->state.store, this->context.now());
 }
 
 scripted_engine&
