--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -151,8 +151,8 @@
 // In-flight work of all entries at a member, according to reports that have not expired.
 workload total_work(const member& one, base::instant now);
 
-// Estimates the prompt tokens that wait for prefill at a member, which reads `tokens_per_ms` of them
-// per millisecond. Tokens that other entries reported are reduced by what the member has read
+// Estimates the prompt tokens that wait for prefill at a member, which reads `tokens_per_ms` of
+// them per millisecond. Tokens that other entries reported are reduced by what the member has read
 // since: with a hundred entries that report twice a second, most reported tokens have been read by
 // the time they are counted, and without this prompts left their cached copies to avoid queues that
 // no longer existed.
